--- a/src/back/link.rs
+++ b/src/back/link.rs
@@ -4,7 +4,7 @@
 use super::{Heard, CROWDED, IDLE_SHARE, MAX_PAST, MUTE_MS, PAST_MS, STALL_MS, WHOLE_MS, WRONG_NAME};
 use crate::addresses::{Book, Endpoint, Race};
 use crate::api::*;
-use crate::reducer::{Answer, AttemptKey, Call, Progress};
+use crate::reducer::{Answer, AttemptKey, OutgoingRequest, Progress};
 use crate::resp::{Decoder, Fault};
 use std::collections::{HashMap, VecDeque};
 
@@ -20,7 +20,7 @@
 pub(super) struct Frame {
     pub(super) bytes: Vec<u8>,
     /// What it says, if it is a request's: its time is worded anew as it leaves.
-    pub(super) call: Option<Call>,
+    pub(super) call: Option<OutgoingRequest>,
     /// The id it opens; a STOP opens none.
     pub(super) opens: Option<String>,
     /// It must not be repeated: what it shares a connection with could cost it its answer.
--- a/src/back/mod.rs
+++ b/src/back/mod.rs
@@ -10,7 +10,7 @@
 use crate::addresses::{Book, DialKey, Endpoint, Failure, Listing, Rules};
 use crate::api::*;
 use crate::reasons::EndpointClose;
-use crate::reducer::{Answer, AttemptKey, Call, Progress};
+use crate::reducer::{Answer, AttemptKey, OutgoingRequest, Progress};
 use crate::resp::{self, Fault};
 use dials::left;
 use link::{Frame, Link, Open, What};
@@ -213,14 +213,14 @@
         now: Millis,
         attempt: AttemptKey,
         member: &CacheId,
-        call: &Call,
+        call: &OutgoingRequest,
     ) -> Result<(LinkKey, bool), Unsent> {
-        let id = call.ask.id.clone();
+        let id = call.request.id.clone();
         let frame = Frame {
             bytes: request(call, call.fetch.timeout_ms),
             call: Some(call.clone()),
             opens: Some(id),
-            alone: call.alone,
+            alone: call.exclusive_connection,
             moves: 0,
         };
         self.queue(now, What::Attempt(attempt), member, frame, true)
@@ -513,11 +513,11 @@
             let empty = link.open.is_empty() && link.out.is_empty();
             let passed = link.due(self.idle_ms).is_some_and(|at| at <= now);
             match link.up {
-                None if link.retired && empty => Some(EndpointClose::NotWanted),
+                None if link.retired && empty => Some(EndpointClose::NotNeeded),
                 None => {
                     link.race.as_ref().filter(|race| race.over(now)).map(|race| match race.lacks_room() {
                         true => EndpointClose::NoRoom,
-                        false => EndpointClose::NotUp,
+                        false => EndpointClose::ConnectTimeout,
                     })
                 }
                 Some(_) if link.greeting.is_some() => passed.then_some(EndpointClose::NoGreeting),
--- a/src/back/words.rs
+++ b/src/back/words.rs
@@ -2,7 +2,7 @@
 
 use crate::api::{Keep, LoadReport, Millis, Note};
 use crate::config;
-use crate::reducer::Call;
+use crate::reducer::OutgoingRequest;
 use crate::resp;
 
 /// `name=value,name=value`, or `-` for none.
@@ -54,8 +54,8 @@
 }
 
 /// The bytes of a request that has so much time.
-pub(super) fn request(call: &Call, limit_ms: Millis) -> Vec<u8> {
-    let (ask, fetch) = (&call.ask, &call.fetch);
+pub(super) fn request(call: &OutgoingRequest, limit_ms: Millis) -> Vec<u8> {
+    let (ask, fetch) = (&call.request, &call.fetch);
     let mut fields = format!("cls={}", ask.class);
     let mut field = |name: &str, value: String| fields.extend([",", name, "=", &value]);
     if let Some(object) = &ask.object {
@@ -84,7 +84,7 @@
     if !how.is_empty() {
         field("handle", how.join("+"));
     }
-    if let Some(tag) = &ask.holds {
+    if let Some(tag) = &ask.client_tag {
         field("holds", tag.clone());
     }
     // By the platform's names file: the protocol page doesn't have it, and a keyed request without it is refused as one
--- a/src/clock.rs
+++ b/src/clock.rs
@@ -97,7 +97,7 @@
     }
 
     /// The instant that somebody named by a Unix time, at the latest that it may have been, and not after `now`.
-    pub fn instant(&self, now: Millis, named: UnixTime) -> Millis {
+    pub fn to_monotonic(&self, now: Millis, named: UnixTime) -> Millis {
         let mut until = now;
         for epoch in self.epochs.iter().rev() {
             let at = named.0 - epoch.offset;
--- a/src/clock/tests.rs
+++ b/src/clock/tests.rs
@@ -4,10 +4,10 @@
 #[test]
 fn without_steps_a_unix_time_is_its_instant_and_never_a_later_one_than_now() {
     let clock = WallClock::new(1000.0, UnixTime(5_001_000.0));
-    assert_eq!(clock.instant(1500.0, UnixTime(5_001_200.0)), 1200.0);
-    assert_eq!(clock.instant(1500.0, UnixTime(5_000_200.0)), 200.0, "before the start of the process");
-    assert_eq!(clock.instant(1500.0, UnixTime(9e12)), 1500.0);
-    assert_eq!(clock.instant(1500.0, UnixTime(f64::INFINITY)), 1500.0);
+    assert_eq!(clock.to_monotonic(1500.0, UnixTime(5_001_200.0)), 1200.0);
+    assert_eq!(clock.to_monotonic(1500.0, UnixTime(5_000_200.0)), 200.0, "before the start of the process");
+    assert_eq!(clock.to_monotonic(1500.0, UnixTime(9e12)), 1500.0);
+    assert_eq!(clock.to_monotonic(1500.0, UnixTime(f64::INFINITY)), 1500.0);
 }
 
 #[test]
@@ -19,7 +19,7 @@
     }
     assert_eq!(clock.epochs.len(), 1);
     let (now, named) = (25_100.0, UnixTime(25_100.0 * 1.001 - 100.0));
-    assert!((clock.instant(now, named) - 25_000.0).abs() < 1.0);
+    assert!((clock.to_monotonic(now, named) - 25_000.0).abs() < 1.0);
 }
 
 /// An event is never taken for an older one than it is, and for a younger one only near a step.
@@ -40,7 +40,7 @@
         now += f64::from(age % 200);
         unix += f64::from(age % 200);
         clock.observe(now, UnixTime(unix));
-        named.iter().all(|(at, unix)| clock.instant(now, *unix) >= at - STEP_MS - 1.0)
+        named.iter().all(|(at, unix)| clock.to_monotonic(now, *unix) >= at - STEP_MS - 1.0)
     }
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(30, 5))
--- a/src/config.rs
+++ b/src/config.rs
@@ -91,7 +91,7 @@
 
 impl LoadFault {
     fn unread(path: &std::path::Path, error: &std::io::Error) -> Self {
-        Self { words: format!("{}: {error}", path.display()), may_pass: errno::may_pass(error) }
+        Self { words: format!("{}: {error}", path.display()), may_pass: errno::is_transient(error) }
     }
 }
 
--- a/src/counters.rs
+++ b/src/counters.rs
@@ -1,24 +1,24 @@
 //! Figures of what the router takes in, sends and answers; printed on a signal and at exit.
 
-use crate::reasons::{AttemptCause, ClientClose, Counts, EndpointClose, Refusal, Violation, Withheld};
+use crate::reasons::{AttemptCause, ClientClose, EndpointClose, ReasonCounts, Refusal, Violation, Withheld};
 
 /// Closes, refusals, failures and attempts by their reasons.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ByReason {
     /// Client connections that ended.
-    pub client_closes: Counts<ClientClose>,
+    pub client_closes: ReasonCounts<ClientClose>,
     /// Connections to endpoints that ended, or never came up.
-    pub endpoint_closes: Counts<EndpointClose>,
+    pub endpoint_closes: ReasonCounts<EndpointClose>,
     /// Requests refused.
-    pub refusals: Counts<Refusal>,
+    pub refusals: ReasonCounts<Refusal>,
     /// Requests failed since no further attempt was made and they may have run.
-    pub failures: Counts<Refusal>,
+    pub failures: ReasonCounts<Refusal>,
     /// Attempts.
-    pub attempts: Counts<AttemptCause>,
+    pub attempts: ReasonCounts<AttemptCause>,
     /// Attempts that were not begun as their turn came.
-    pub withheld: Counts<Withheld>,
+    pub withheld: ReasonCounts<Withheld>,
     /// Rules that this process has seen itself break.
-    pub violations: Counts<Violation>,
+    pub violations: ReasonCounts<Violation>,
 }
 
 impl std::fmt::Display for ByReason {
--- a/src/errno.rs
+++ b/src/errno.rs
@@ -5,7 +5,7 @@
 
 /// What is to be concluded from an error.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Verdict {
+pub(crate) enum ErrorClass {
     /// A signal came in between: the call is made again at once, or goes on by itself.
     Interrupted,
     /// Nothing can be done before the next readiness.
@@ -20,10 +20,10 @@
 }
 
 /// Reads an error.
-pub(crate) fn verdict(error: &io::Error) -> Verdict {
+pub(crate) fn classify(error: &io::Error) -> ErrorClass {
     match Errno::from_io_error(error) {
-        Some(Errno::INTR) => Verdict::Interrupted,
-        Some(Errno::AGAIN) => Verdict::WouldBlock,
+        Some(Errno::INTR) => ErrorClass::Interrupted,
+        Some(Errno::AGAIN) => ErrorClass::WouldBlock,
         // EADDRNOTAVAIL and EADDRINUSE are connect's for want of a local port; ENOSPC epoll_ctl's for too many watches.
         Some(
             Errno::MFILE
@@ -33,18 +33,19 @@
             | Errno::ADDRNOTAVAIL
             | Errno::ADDRINUSE
             | Errno::NOSPC,
-        ) => Verdict::Shortage,
+        ) => ErrorClass::Shortage,
         Some(Errno::NETUNREACH | Errno::HOSTUNREACH | Errno::NETDOWN | Errno::HOSTDOWN) => {
-            Verdict::Unreachable
+            ErrorClass::Unreachable
         }
-        Some(_) | None => Verdict::Peer,
+        Some(_) | None => ErrorClass::Peer,
     }
 }
 
 /// Whether a file's call failed in a way that may pass: the disk is full or in trouble, or this machine lacks something.
-pub(crate) fn may_pass(error: &io::Error) -> bool {
+pub(crate) fn is_transient(error: &io::Error) -> bool {
     let of_the_disk = matches!(Errno::from_io_error(error), Some(Errno::IO | Errno::DQUOT));
-    of_the_disk || matches!(verdict(error), Verdict::Interrupted | Verdict::WouldBlock | Verdict::Shortage)
+    of_the_disk
+        || matches!(classify(error), ErrorClass::Interrupted | ErrorClass::WouldBlock | ErrorClass::Shortage)
 }
 
 #[cfg(test)]
--- a/src/errno/tests.rs
+++ b/src/errno/tests.rs
@@ -2,15 +2,22 @@
 
 #[test]
 fn each_error_is_laid_at_the_door_of_whom_it_speaks_of() {
-    let of = |errno: Errno| verdict(&io::Error::from(errno));
+    let of = |errno: Errno| classify(&io::Error::from(errno));
     for errno in [Errno::MFILE, Errno::NFILE, Errno::NOMEM, Errno::NOBUFS, Errno::ADDRNOTAVAIL, Errno::NOSPC]
     {
-        assert_eq!(of(errno), Verdict::Shortage, "{errno}");
+        assert_eq!(of(errno), ErrorClass::Shortage, "{errno}");
     }
     for errno in [Errno::CONNREFUSED, Errno::CONNRESET, Errno::TIMEDOUT, Errno::PIPE, Errno::CONNABORTED] {
-        assert_eq!(of(errno), Verdict::Peer, "{errno}");
+        assert_eq!(of(errno), ErrorClass::Peer, "{errno}");
     }
-    assert_eq!((of(Errno::INTR), of(Errno::AGAIN)), (Verdict::Interrupted, Verdict::WouldBlock));
-    assert_eq!((of(Errno::NETUNREACH), of(Errno::HOSTUNREACH)), (Verdict::Unreachable, Verdict::Unreachable));
-    assert!(may_pass(&Errno::IO.into()) && may_pass(&Errno::NOSPC.into()) && !may_pass(&Errno::NOENT.into()));
+    assert_eq!((of(Errno::INTR), of(Errno::AGAIN)), (ErrorClass::Interrupted, ErrorClass::WouldBlock));
+    assert_eq!(
+        (of(Errno::NETUNREACH), of(Errno::HOSTUNREACH)),
+        (ErrorClass::Unreachable, ErrorClass::Unreachable)
+    );
+    assert!(
+        is_transient(&Errno::IO.into())
+            && is_transient(&Errno::NOSPC.into())
+            && !is_transient(&Errno::NOENT.into())
+    );
 }
--- a/src/front.rs
+++ b/src/front.rs
@@ -3,7 +3,7 @@
 use crate::api::Millis;
 use crate::fastcgi::{self, kind, status, Decoder, Fault, Record};
 use crate::reasons::ClientClose;
-use crate::reducer::{Ask, Reply};
+use crate::reducer::{IncomingRequest, Reply};
 use std::collections::{BTreeMap, VecDeque};
 
 /// Requests open on one connection.
@@ -45,7 +45,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Heard {
     /// A request is whole, so long after its beginning; or it is turned away, whole or not.
-    Asked(u64, Result<Ask, &'static str>, Millis),
+    Asked(u64, Result<IncomingRequest, &'static str>, Millis),
     /// Somebody asks whether this router is ready.
     Health(u64),
     /// The client has stopped waiting for it.
@@ -305,7 +305,7 @@
             return false;
         };
         if self.open.remove(&request).is_some_and(|open| !open.keep) {
-            self.closing.get_or_insert(ClientClose::NotKept);
+            self.closing.get_or_insert(ClientClose::NoKeepConn);
         }
         let (head, body): (String, &[u8]) = match reply {
             Reply::Served(body) => {
@@ -319,7 +319,7 @@
                 (format!("Status: 503 Service Unavailable\r\n{wait}Content-Length: 0\r\n\r\n"), b"")
             }
             Reply::Failed(failure) => {
-                let why = failure.words();
+                let why = failure.message();
                 (format!("Status: 502 Bad Gateway\r\nX-Reason: {why}\r\nContent-Length: 0\r\n\r\n"), b"")
             }
             Reply::Health(true) => ("Status: 200 OK\r\nContent-Length: 0\r\n\r\n".to_owned(), b""),
@@ -399,7 +399,11 @@
         let silent = quiet && !self.asked && now - self.opened > WHOLE_MS;
         let idle = quiet && now - self.moved > IDLE_MS;
         let deaf = self.unwritten > 0 && now - self.taken > self.deaf_ms;
-        let reasons = [(idle, ClientClose::Idle), (deaf, ClientClose::Deaf), (silent, ClientClose::Silent)];
+        let reasons = [
+            (idle, ClientClose::Idle),
+            (deaf, ClientClose::WriteTimeout),
+            (silent, ClientClose::RequestTimeout),
+        ];
         if let Some((_, reason)) = reasons.into_iter().find(|(holds, _)| *holds) {
             return Standing::Over(reason);
         }
@@ -525,7 +529,7 @@
 
 /// Reads the fields of a request. What is out of form goes no further: a machine would answer it with an error,
 /// or end the connection with all that is on it.
-fn ask(pairs: &[(&[u8], &[u8])], body: Vec<u8>) -> Result<Ask, &'static str> {
+fn ask(pairs: &[(&[u8], &[u8])], body: Vec<u8>) -> Result<IncomingRequest, &'static str> {
     let text = |name: &'static str| find(pairs, name);
     let class = text("SCRIPT_NAME")?.and_then(|path| path.strip_prefix("/ops/")).ok_or("no such path")?;
     let id = text("HTTP_X_REQUEST_ID")?.filter(|id| is_id(id)).ok_or("X-Request-Id is missing or bad")?;
@@ -551,7 +555,7 @@
     if idempotency_key.is_some_and(|key| !plain(key)) {
         return Err("Idempotency-Key is bad");
     }
-    Ok(Ask {
+    Ok(IncomingRequest {
         id: id.to_owned(),
         class: class.to_owned(),
         timeout_ms: figure(timeout, MAX_TIMEOUT_MS, "X-Timeout-Ms is bad")?,
@@ -564,7 +568,7 @@
         piece,
         group: group.unwrap_or(0),
         size_kb: size.filter(|kb| *kb > 0.0),
-        holds: holds.map(str::to_owned),
+        client_tag: holds.map(str::to_owned),
         idempotency_key: idempotency_key.map(Into::into),
         body,
     })
--- a/src/handover/mod.rs
+++ b/src/handover/mod.rs
@@ -177,9 +177,9 @@
 
     /// Notes which machines are still listed, and forgets names that are long gone.
     pub fn age(&mut self, now: BootTime, listed: impl Fn(&str) -> bool) {
-        self.excluded.age(now, listed);
+        self.excluded.expire(now, listed);
         let excluded = &self.excluded;
-        self.calls.retain(|name, call| excluded.holds(name) || now.since(call.at) <= REMEMBERED_MS);
+        self.calls.retain(|name, call| excluded.contains(name) || now.since(call.at) <= REMEMBERED_MS);
         let mut back: Vec<(BootTime, String)> = self
             .calls
             .iter()
@@ -209,7 +209,7 @@
                 continue;
             }
             self.calls.insert(name.clone(), *call);
-            let listed = other.excluded.listed(name).unwrap_or(call.at);
+            let listed = other.excluded.last_listed(name).unwrap_or(call.at);
             // What another process was allowed is not refused here.
             self.excluded.set(name, call.out, listed);
         }
@@ -231,7 +231,7 @@
         }
         let newer = |(name, call): (&String, &Call)| {
             other.calls.get(name).is_none_or(|known| known.at < call.at)
-                && (call.out || other.excluded.holds(name))
+                && (call.out || other.excluded.contains(name))
         };
         self.calls.iter().any(newer)
     }
@@ -259,7 +259,7 @@
     pub fn write(&self, now: Now) -> Option<Vec<u8>> {
         let wall = |at: BootTime| UnixTime(now.unix.0 - now.boot.since(at));
         let excluded = self.excluded.names().map(|name| {
-            let listed = self.excluded.listed(name).unwrap_or(now.boot);
+            let listed = self.excluded.last_listed(name).unwrap_or(now.boot);
             (name.to_owned(), wall(listed))
         });
         let processes = self.processes.iter().map(|(id, one)| (*id, (wall(one.said), one.ends)));
@@ -270,7 +270,7 @@
             processes: processes.collect(),
         };
         let entry = |(name, call): (&String, &Call)| {
-            let listed = self.excluded.listed(name).unwrap_or(call.at);
+            let listed = self.excluded.last_listed(name).unwrap_or(call.at);
             (name.clone(), Entry { at: call.at, out: call.out, listed })
         };
         let boot_part = BootPart {
--- a/src/handover/store/tests.rs
+++ b/src/handover/store/tests.rs
@@ -295,7 +295,7 @@
         for (process, store) in &self.processes {
             assert!(!store.owes(), "{process} still owes");
             for (name, promise) in &self.promised {
-                assert_eq!(store.state().excluded().holds(name), promise.out, "{name} in {process}");
+                assert_eq!(store.state().excluded().contains(name), promise.out, "{name} in {process}");
             }
         }
     }
@@ -441,5 +441,5 @@
     world.now_ms += wait;
     world.upkeep(process);
     let file = world.file().expect("it is written again");
-    assert!(!world.processes[&process].owes() && file.excluded().holds(NAMES[0]));
+    assert!(!world.processes[&process].owes() && file.excluded().contains(NAMES[0]));
 }
--- a/src/handover/tests.rs
+++ b/src/handover/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::service::MOST;
+use crate::service::MAX_EXCLUSIONS;
 use quickcheck::{Gen, QuickCheck};
 
 const BOOT: &str = "this boot";
@@ -35,9 +35,9 @@
     let longest = |at: usize| format!("{at:0>256}");
     while full.call(7, false, &longest(full.excluded().names().count()), true, BootTime(0.0)).is_ok() {}
     for at in 0..MOST_REMEMBERED {
-        assert_eq!(full.call(7, false, &longest(MOST + at), false, BootTime(0.0)), Ok(()));
+        assert_eq!(full.call(7, false, &longest(MAX_EXCLUSIONS + at), false, BootTime(0.0)), Ok(()));
     }
-    assert_eq!(full.excluded().names().count(), MOST);
+    assert_eq!(full.excluded().names().count(), MAX_EXCLUSIONS);
     assert!(full.write(at(0.0)).is_some_and(|bytes| bytes.len() <= MAX_FILE));
     full.listen = "x".repeat(MAX_FILE);
     assert_eq!(full.write(at(0.0)), None);
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -589,14 +589,14 @@
         // Overload: what can't be done within its aim is worth little and slows all others.
         let too_late = own * crowd > aim_left.max(class.aim_ms) && crowd > CROWDED;
         let nowhere = (look || held_only) && missed;
-        let within = self.may_send_again(now, pending, cache).ok_or(Refusal::NoRepeat)?;
+        let within = self.may_send_again(now, pending, cache).ok_or(Refusal::RetryNotAllowed)?;
         let reasons = [
-            (advised, Refusal::Advised),
-            (tries >= most, Refusal::TriesUsed),
-            (unknown, Refusal::Unknown),
-            (left <= own, Refusal::TooLate),
+            (advised, Refusal::RefusedByPlugin),
+            (tries >= most, Refusal::AttemptsExhausted),
+            (unknown, Refusal::UnknownObject),
+            (left <= own, Refusal::DeadlineUnreachable),
             (too_late, Refusal::Overload),
-            (nowhere, Refusal::NotHeld),
+            (nowhere, Refusal::NotCached),
         ];
         if let Some((_, reason)) = reasons.into_iter().find(|(holds, _)| *holds) {
             return Err(reason);
--- a/src/reasons.rs
+++ b/src/reasons.rs
@@ -22,7 +22,7 @@
                 }
             }
 
-            fn words(self) -> &'static str {
+            fn description(self) -> &'static str {
                 match self {
                     $(Self::$variant => $words,)*
                 }
@@ -31,7 +31,7 @@
 
         impl fmt::Display for $name {
             fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-                f.write_str(self.words())
+                f.write_str(self.description())
             }
         }
     };
@@ -46,7 +46,7 @@
     fn key(self) -> &'static str;
 
     /// Its name for people.
-    fn words(self) -> &'static str;
+    fn description(self) -> &'static str;
 }
 
 reasons! {
@@ -61,17 +61,17 @@
         /// It held most of the memory that requests still coming in may take.
         NoMemory: "no_memory", "no memory for what it sends";
         /// No whole request came in time.
-        Silent: "silent", "no request in time";
+        RequestTimeout: "silent", "no request in time";
         /// It rested for longer than clients keep idle connections.
         Idle: "idle", "idle for too long";
         /// Its client takes nothing of what it is owed.
-        Deaf: "deaf", "its client reads nothing";
+        WriteTimeout: "deaf", "its client reads nothing";
         /// Its descriptor was needed for another client.
         Shed: "shed", "its descriptor was needed";
         /// The router is being emptied or ends, and nothing is open on it.
         Draining: "draining", "at rest while the router drains";
         /// Its client asked for it to be closed after its last answer (no KEEP_CONN).
-        NotKept: "not_kept", "the client wanted no further request";
+        NoKeepConn: "not_kept", "the client wanted no further request";
         /// The process ends.
         ProcessExit: "process_exit", "the process ends";
         /// A panic while it was served.
@@ -93,13 +93,13 @@
         /// It carried nothing for long enough, or its endpoint is retired.
         Idle: "idle", "idle";
         /// It was not up in time.
-        NotUp: "not_up", "not up in time";
+        ConnectTimeout: "not_up", "not up in time";
         /// This machine had no room for it in time: no descriptor, memory or port.
         NoRoom: "no_room", "no room for a connection in time";
         /// The endpoint did not answer the greeting in time.
         NoGreeting: "no_greeting", "no greeting";
         /// Nobody waits for it any more, and it is not up.
-        NotWanted: "not_wanted", "not wanted any more";
+        NotNeeded: "not_wanted", "not wanted any more";
         /// Another endpoint than the one that was meant answers there.
         WrongName: "wrong_name", "another machine answers there";
         /// Its endpoint has started anew since it was dialled.
@@ -119,27 +119,27 @@
         /// As many requests are open as may be.
         TooManyOpen: "too_many_open", "too many requests are open";
         /// The bodies of open requests fill the memory that they may take.
-        BodiesFull: "bodies_full", "no memory for its body";
+        BodyMemoryFull: "bodies_full", "no memory for its body";
         /// Its client gives up before anything could be done.
-        NoTimeLeft: "no_time_left", "no time is left";
+        DeadlineExpired: "no_time_left", "no time is left";
         /// It was served, and the answer had to be dropped to stay within the memory limit.
         AnswerDropped: "answer_dropped", "no memory for its answer";
         /// No endpoint can take it.
         NoEndpoint: "no_endpoint", "no endpoint can take it";
         /// As many attempts were made as may be.
-        TriesUsed: "tries_used", "its attempts are used up";
+        AttemptsExhausted: "tries_used", "its attempts are used up";
         /// What is left of its time is less than sending it takes.
-        TooLate: "too_late", "it can't be answered in time";
+        DeadlineUnreachable: "too_late", "it can't be answered in time";
         /// No endpoint could send it within its aim: they hold too much.
         Overload: "overload", "its endpoint is overloaded";
         /// Nobody holds it, and it may not be filled now.
-        NotHeld: "not_held", "nobody holds it, and fills are held back";
+        NotCached: "not_held", "nobody holds it, and fills are held back";
         /// It may have run, and its class or window allows no repeat now.
-        NoRepeat: "no_repeat", "it may not be sent again";
+        RetryNotAllowed: "no_repeat", "it may not be sent again";
         /// Endpoints call it an error one after the other, and nobody has served it before.
-        Unknown: "unknown", "endpoints do not know it";
+        UnknownObject: "unknown", "endpoints do not know it";
         /// A plug-in has it refused.
-        Advised: "advised", "a plug-in has it refused";
+        RefusedByPlugin: "advised", "a plug-in has it refused";
     }
 }
 
@@ -173,19 +173,19 @@
     /// Why an attempt that waited is not begun after all, asked as its first byte would leave.
     Withheld {
         /// The reducer has no such attempt: its client has left, or it was given up.
-        Unknown: "unknown", "it was given up";
+        UnknownAttempt: "unknown", "it was given up";
         /// Its endpoint leaves, or has left.
-        EndpointLeaves: "endpoint_leaves", "its endpoint leaves";
+        EndpointLeaving: "endpoint_leaves", "its endpoint leaves";
         /// The source of its fill leaves, or has left.
-        SourceLeaves: "source_leaves", "its source leaves";
+        SourceLeaving: "source_leaves", "its source leaves";
         /// The time by which it was to leave is over: a repeat's window, or what a connection may take to come up.
-        TooLate: "too_late", "its time to leave is over";
+        SendWindowExpired: "too_late", "its time to leave is over";
         /// Its client's time is up.
-        OutOfTime: "out_of_time", "its client's time is up";
+        ClientDeadlineExpired: "out_of_time", "its client's time is up";
         /// It must not run twice, and an attempt before it may have run.
         MayHaveRun: "may_have_run", "it may have run, and must not run twice";
         /// Another attempt of it is out, and no two may be.
-        TwoAtOnce: "two_at_once", "another attempt of it is out";
+        ConcurrentAttempt: "two_at_once", "another attempt of it is out";
     }
 }
 
@@ -193,12 +193,12 @@
     /// Whether it should have been taken back or never been asked for, so that coming so far is a fault of this process.
     pub fn is_violation(self) -> bool {
         match self {
-            Self::TooLate | Self::OutOfTime => false,
-            Self::Unknown
-            | Self::EndpointLeaves
-            | Self::SourceLeaves
+            Self::SendWindowExpired | Self::ClientDeadlineExpired => false,
+            Self::UnknownAttempt
+            | Self::EndpointLeaving
+            | Self::SourceLeaving
             | Self::MayHaveRun
-            | Self::TwoAtOnce => true,
+            | Self::ConcurrentAttempt => true,
         }
     }
 }
@@ -208,32 +208,32 @@
     /// seen.
     Violation {
         /// An attempt was about to begin that must not; it was withheld.
-        Begin: "begin", "an attempt was about to begin that must not";
+        ForbiddenSend: "begin", "an attempt was about to begin that must not";
         /// A client's connection was there past the time in which an evacuated router may keep it.
-        HeldPastDrain: "held_past_drain", "a client was connected past the time of a drain";
+        ConnectedPastDrain: "held_past_drain", "a client was connected past the time of a drain";
         /// A client's connection was closed from this side over requests that had come whole on it.
-        ClosedOwing: "closed_owing", "a connection was closed over requests that are owed an answer";
+        ClosedUnanswered: "closed_owing", "a connection was closed over requests that are owed an answer";
     }
 }
 
 /// How often each reason of a kind was given.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Counts<R: Reason>(BTreeMap<R, u64>);
+pub struct ReasonCounts<R: Reason>(BTreeMap<R, u64>);
 
-impl<R: Reason> Default for Counts<R> {
+impl<R: Reason> Default for ReasonCounts<R> {
     fn default() -> Self {
         Self(BTreeMap::new())
     }
 }
 
-impl<R: Reason> Counts<R> {
+impl<R: Reason> ReasonCounts<R> {
     /// Counts one more.
     pub fn add(&mut self, reason: R) {
         *self.0.entry(reason).or_default() += 1;
     }
 
     /// How often this one was given.
-    pub fn of(&self, reason: R) -> u64 {
+    pub fn get(&self, reason: R) -> u64 {
         self.0.get(&reason).copied().unwrap_or(0)
     }
 
--- a/src/reasons/tests.rs
+++ b/src/reasons/tests.rs
@@ -19,16 +19,19 @@
 
 #[test]
 fn counts_are_written_by_reason_and_only_those_that_were_given() {
-    struct Shown(Counts<Refusal>);
+    struct Shown(ReasonCounts<Refusal>);
     impl fmt::Display for Shown {
         fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
             self.0.write(f, "refused")
         }
     }
-    let mut counts = Counts::default();
+    let mut counts = ReasonCounts::default();
     counts.add(Refusal::Overload);
     counts.add(Refusal::Overload);
     counts.add(Refusal::ShuttingDown);
-    assert_eq!((counts.of(Refusal::Overload), counts.of(Refusal::TooLate), counts.total()), (2, 0, 3));
+    assert_eq!(
+        (counts.get(Refusal::Overload), counts.get(Refusal::DeadlineUnreachable), counts.total()),
+        (2, 0, 3)
+    );
     assert_eq!(Shown(counts).to_string(), " refused_shutting_down=1 refused_overload=2");
 }
--- a/src/reducer/gate.rs
+++ b/src/reducer/gate.rs
@@ -23,8 +23,8 @@
     }
 
     fn may_begin(&self, now: Millis, attempt: AttemptKey) -> Result<Permit, Withheld> {
-        let out = self.out.get(&attempt).ok_or(Withheld::Unknown)?;
-        let held = self.held.get(&out.client).ok_or(Withheld::Unknown)?;
+        let out = self.out.get(&attempt).ok_or(Withheld::UnknownAttempt)?;
+        let held = self.held.get(&out.client).ok_or(Withheld::UnknownAttempt)?;
         let serves = |name: &CacheId| self.members.get(name).is_some_and(|m| m.phase == Phase::Serving);
         let others = || held.out.iter().filter(|key| **key != attempt).filter_map(|key| self.out.get(key));
         let begun = |other: &Out| other.progress != Progress::NotConnected;
@@ -32,12 +32,12 @@
         let own_left = if out.timeout_ms > 0.0 { out.timeout_ms - (now - out.sent) } else { f64::INFINITY };
         let limit_ms = own_left.min(held.guard - now);
         let reasons = [
-            (!serves(&out.cache), Withheld::EndpointLeaves),
-            (!serves(&out.source), Withheld::SourceLeaves),
+            (!serves(&out.cache), Withheld::EndpointLeaving),
+            (!serves(&out.source), Withheld::SourceLeaving),
             (fragile && (held.may_have_run || others().any(begun)), Withheld::MayHaveRun),
-            (!self.settings.limits.second_copies && others().any(begun), Withheld::TwoAtOnce),
-            (now > out.leave_by, Withheld::TooLate),
-            (limit_ms < 1.0, Withheld::OutOfTime),
+            (!self.settings.limits.second_copies && others().any(begun), Withheld::ConcurrentAttempt),
+            (now > out.send_by, Withheld::SendWindowExpired),
+            (limit_ms < 1.0, Withheld::ClientDeadlineExpired),
         ];
         match reasons.into_iter().find(|(holds, _)| *holds) {
             Some((_, reason)) => Err(reason),
--- a/src/reducer/machines.rs
+++ b/src/reducer/machines.rs
@@ -9,11 +9,11 @@
             Some(Word::Purge { object, group, made_unix_ms }) => {
                 self.counters.purges += 1;
                 let named = object.as_deref().map(ObjectId::from);
-                let age_ms = now - self.wall_clock.instant(now, made_unix_ms);
+                let age_ms = now - self.wall_clock.to_monotonic(now, made_unix_ms);
                 self.events.push_back(Event::Purged { object: named, group, age_ms });
                 self.settle(now);
                 // What waits with an older bound is decided anew: it must not leave with what it says of its copy.
-                let purged = |ask: &Ask| match &object {
+                let purged = |ask: &IncomingRequest| match &object {
                     Some(object) => ask.object.as_ref() == Some(object),
                     None => ask.group == group,
                 };
@@ -33,7 +33,7 @@
     fn start(&self, now: Millis, name: &CacheId, named: UnixTime) -> Start {
         let known = self.members.get(name).and_then(|member| member.start);
         let same = known.filter(|start| start.named == Some(named));
-        same.unwrap_or_else(|| Start { named: Some(named), at: self.wall_clock.instant(now, named) })
+        same.unwrap_or_else(|| Start { named: Some(named), at: self.wall_clock.to_monotonic(now, named) })
     }
 
     /// The board tells of machines. `restarted`: an operator took them back, so that they count as started now.
@@ -44,8 +44,8 @@
                     (member.phase, member.told) = (Phase::Deleted, now);
                     let listing = Listing { phase: Phase::Deleted, address: None, cold_until: None };
                     self.watch.gone(name);
-                    self.effects.push(Effect::Listed { member: name.clone(), listing: Some(listing) });
-                    self.effects.push(Effect::Retire { member: name.clone() });
+                    self.effects.push(Effect::SetListing { machine: name.clone(), listing: Some(listing) });
+                    self.effects.push(Effect::Retire { machine: name.clone() });
                 }
             }
         }
@@ -53,7 +53,7 @@
         self.members.retain(|name, member| {
             let stays = member.phase != Phase::Deleted || now - member.told < FORGET_MS;
             if !stays {
-                effects.push(Effect::Listed { member: name.clone(), listing: None });
+                effects.push(Effect::SetListing { machine: name.clone(), listing: None });
             }
             stays
         });
@@ -68,7 +68,7 @@
                 _ => drop(self.listed_as.insert(name.clone(), listed.clone())),
             }
             // An operator's word holds whatever the board says.
-            if listed.phase == Phase::Serving && self.excluded.holds(name.as_str()) {
+            if listed.phase == Phase::Serving && self.excluded.contains(name.as_str()) {
                 listed.phase = Phase::Draining;
             }
             let start = match listed.since_unix_ms {
@@ -80,13 +80,13 @@
             let address = (listed.phase != Phase::Deleted).then_some(listed.address);
             let cold_until = since.map(|at| at + self.settings.guarantees.cold_ms);
             let listing = Listing { phase: listed.phase, address, cold_until };
-            self.effects.push(Effect::Listed { member: name.clone(), listing: Some(listing) });
+            self.effects.push(Effect::SetListing { machine: name.clone(), listing: Some(listing) });
             if listed.phase != Phase::Serving {
-                self.effects.push(Effect::Retire { member: name.clone() });
+                self.effects.push(Effect::Retire { machine: name.clone() });
             } else if let (Some(Start { named, at }), Some(was)) = (start, was) {
                 // A machine that vanished and came back leaves old connections open and silent.
                 if was.start.is_none_or(|before| before.named != named && before.at <= at) {
-                    self.effects.push(Effect::Reborn { member: name.clone(), at });
+                    self.effects.push(Effect::MachineRestarted { machine: name.clone(), at });
                 }
             }
             self.watch.list(&name, &listed.kind, &listed.zone, listed.phase, listed.weight, since);
@@ -125,7 +125,7 @@
     }
 
     /// Whether the board lists a machine now, serving or draining.
-    pub fn lists(&self, name: &str) -> bool {
+    pub fn is_listed(&self, name: &str) -> bool {
         self.listed_as.contains_key(&CacheId::from(name))
     }
 
@@ -136,7 +136,7 @@
             ops::Call::Ready => yes(self.ready()),
             ops::Call::Evacuate => {
                 self.service.evacuate(now);
-                if self.service.evacuated() == Some(now) {
+                if self.service.evacuating_since() == Some(now) {
                     self.at(now + DRAINED_BY_MS, Due::AuditDrain);
                 }
                 ops::Verdict::Yes
@@ -144,20 +144,22 @@
             ops::Call::Rejoin => yes(self.service.rejoin()),
             ops::Call::Telemetry => {
                 let telemetry = Box::new(self.telemetry());
-                return self.effects.push(Effect::Report { caller, telemetry });
+                return self.effects.push(Effect::SendTelemetry { caller, telemetry });
             }
             ops::Call::Fleet => ops::Verdict::No, // Answered before it comes here.
-            ops::Call::Exclude(name) if !self.lists(&name) => ops::Verdict::Unknown,
-            ops::Call::Include(name) if !self.lists(&name) && !self.excluded.holds(&name) => {
+            ops::Call::Exclude(name) if !self.is_listed(&name) => ops::Verdict::Unknown,
+            ops::Call::Include(name) if !self.is_listed(&name) && !self.excluded.contains(&name) => {
                 ops::Verdict::Unknown
             }
             // It holds once it is saved: also where nothing changes here, as another process may have changed it.
-            ops::Call::Exclude(name) => return self.effects.push(Effect::Change { caller, name, out: true }),
+            ops::Call::Exclude(name) => {
+                return self.effects.push(Effect::SaveExclusion { caller, name, excluded: true })
+            }
             ops::Call::Include(name) => {
-                return self.effects.push(Effect::Change { caller, name, out: false })
+                return self.effects.push(Effect::SaveExclusion { caller, name, excluded: false })
             }
         };
-        self.effects.push(Effect::Verdict { caller, verdict });
+        self.effects.push(Effect::AnswerOperator { caller, verdict });
     }
 
     /// A change is saved, or isn't and doesn't hold.
@@ -169,7 +171,7 @@
             }
             Err(verdict) => verdict,
         };
-        self.effects.push(Effect::Verdict { caller, verdict });
+        self.effects.push(Effect::AnswerOperator { caller, verdict });
     }
 
     /// Takes over what is out: those machines are read as draining whatever the board says of them, the others by its word.
@@ -179,7 +181,7 @@
         differing.retain(|name| self.listed_as.contains_key(name)); // Of the others the board hasn't spoken yet.
         let (mut taken_out, mut taken_back) = (Vec::new(), Vec::new());
         for name in &differing {
-            let out = self.excluded.holds(name.as_str());
+            let out = self.excluded.contains(name.as_str());
             let word = if out { "taken out" } else { "taken back" };
             self.effects.push(Effect::Log(format!("{name} is {word} by an operator")));
             let Some(listed) = self.listed_as.get(name).cloned() else { continue };
--- a/src/reducer/mod.rs
+++ b/src/reducer/mod.rs
@@ -21,7 +21,10 @@
 use crate::Router;
 pub use gate::Permit;
 use std::collections::{BTreeMap, HashMap, HashSet, VecDeque};
-pub use words::{Answer, Ask, AttemptKey, Call, Client, Effect, End, Failure, Input, Progress, Reply};
+pub use words::{
+    Answer, AttemptEnd, AttemptKey, Effect, Failure, IncomingRequest, Input, OutgoingRequest, Progress,
+    Reply, RequestKey,
+};
 
 /// A request is answered this long before its client gives up: its way back, and a busy core.
 const GUARD_MS: Millis = 30.0;
@@ -59,7 +62,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Due {
     Module(Token),
-    Guard(Client),
+    Guard(RequestKey),
     Limit(AttemptKey),
     Apart(AttemptKey),
     Unsent(AttemptKey),
@@ -73,7 +76,7 @@
 #[derive(Debug)]
 struct Held {
     id: RequestId,
-    ask: std::rc::Rc<Ask>,
+    ask: std::rc::Rc<IncomingRequest>,
     fragile: bool,
     /// Attempts made, how the latest to end did, and those that are out.
     attempts: usize,
@@ -90,17 +93,17 @@
 /// An attempt that is out.
 #[derive(Debug)]
 struct Out {
-    client: Client,
+    client: RequestKey,
     id: RequestId,
     number: usize,
     cache: CacheId,
     source: CacheId,
     sent: Millis,
     timeout_ms: Millis,
-    leave_by: Millis,
+    send_by: Millis,
     progress: Progress,
     /// It waits until another one is surely over.
-    parked: Option<Call>,
+    parked: Option<OutgoingRequest>,
 }
 
 /// A late start of a machine.
@@ -130,8 +133,8 @@
     wall_clock: WallClock,
     members: BTreeMap<CacheId, Member>,
     listed: bool,
-    held: BTreeMap<Client, Held>,
-    clients: HashMap<RequestId, Client>,
+    held: BTreeMap<RequestKey, Held>,
+    clients: HashMap<RequestId, RequestKey>,
     /// Ids as the clients gave them, of what is held.
     open_ids: HashSet<String>,
     out: BTreeMap<AttemptKey, Out>,
@@ -221,7 +224,7 @@
 
     /// Whether clients can be served: there are machines to serve from, and no end in sight.
     pub fn ready(&self) -> bool {
-        self.serves() && self.service.takes_clients()
+        self.serves() && self.service.accepts_clients()
     }
 
     /// Where it stands between serving and its end.
@@ -230,22 +233,22 @@
     }
 
     /// Whether it was told to end.
-    pub fn ends(&self) -> bool {
-        self.service.ending().is_some()
+    pub fn is_terminating(&self) -> bool {
+        self.service.terminating_since().is_some()
     }
 
     /// Client connections that may be open.
-    pub fn most_clients(&self) -> usize {
+    pub fn max_client_connections(&self) -> usize {
         (self.net.sockets as f64 * CLIENT_SHARE) as usize
     }
 
     /// The longest that a client of any class waits.
-    pub fn longest_ms(&self) -> Millis {
+    pub fn longest_deadline_ms(&self) -> Millis {
         self.settings.classes.iter().map(|class| class.deadline_ms).fold(0.0, f64::max)
     }
 
     /// Connections to machines that may be open.
-    pub fn most_links(&self) -> usize {
+    pub fn max_endpoint_connections(&self) -> usize {
         (self.net.sockets as f64 * MACHINE_SHARE) as usize
     }
 
@@ -255,12 +258,12 @@
     }
 
     /// Requests that are owed an answer.
-    pub fn open(&self) -> usize {
+    pub fn open_requests(&self) -> usize {
         self.held.len()
     }
 
-    /// When [`Input::Due`] is wanted next.
-    pub fn next_due(&self) -> Option<Millis> {
+    /// When [`Input::TimersDue`] is wanted next.
+    pub fn next_deadline(&self) -> Option<Millis> {
         let own = self.dues.keys().next().map(|(at, _)| *at as f64 / 1000.0);
         let tick = self.plugins.as_ref().and_then(|plugins| plugins.next_due());
         [own, tick].into_iter().flatten().reduce(f64::min)
@@ -269,12 +272,14 @@
     /// Takes one input in; what is to be done, in order.
     pub fn step(&mut self, now: Millis, input: Input) -> Vec<Effect> {
         match input {
-            Input::Asked { client, ask, age_ms } => self.asked(now, client, ask, age_ms),
-            Input::Health { client } => {
+            Input::RequestReceived { key: client, request: ask, age_ms } => {
+                self.asked(now, client, ask, age_ms)
+            }
+            Input::Health { key: client } => {
                 let reply = Reply::Health(self.ready());
-                self.effects.push(Effect::Answer { client, reply });
+                self.effects.push(Effect::Answer { key: client, reply });
             }
-            Input::Aborted { client } => self.aborted(now, client),
+            Input::Aborted { key: client } => self.aborted(now, client),
             Input::Flushed { conn, bytes } => {
                 let left = self.buffered.get_mut(&conn);
                 let bytes = left.map_or(0, |left| {
@@ -284,16 +289,16 @@
                 });
                 self.buffered_all -= bytes;
             }
-            Input::Closed { conn } => {
+            Input::ConnectionClosed { conn } => {
                 self.buffered_all -= self.buffered.remove(&conn).unwrap_or(0);
                 self.open_on(conn).into_iter().for_each(|client| self.aborted(now, client));
             }
-            Input::Unreadable { conn } => {
+            Input::ConnectionUnreadable { conn } => {
                 let open = self.open_on(conn);
                 open.into_iter().for_each(|client| self.fail(now, client, Failure::BadConnection));
             }
-            Input::CutShort { client } => self.cut_short(now, client),
-            Input::Closing { conn } => {
+            Input::RequestTruncated { key: client } => self.cut_short(now, client),
+            Input::ConnectionClosing { conn } => {
                 let open = self.open_on(conn);
                 open.into_iter().for_each(|client| self.give_up(now, client));
             }
@@ -303,20 +308,20 @@
                 }
             }
             Input::Ended { attempt, end } => self.ended(now, attempt, end),
-            Input::Probed { member, outcome, report } => {
+            Input::Probed { machine: member, outcome, report } => {
                 self.events.push_back(Event::Probed { cache: member, outcome, report });
             }
-            Input::Notice { notice, unix } => {
+            Input::DiscoveryEvent { notice, unix } => {
                 self.wall_clock.observe(now, unix);
                 self.notice(now, notice);
             }
             Input::ClocksRead { unix } => self.wall_clock.observe(now, unix),
-            Input::Due => self.pass(now),
+            Input::TimersDue => self.pass(now),
             Input::Terminate => self.terminate(now),
-            Input::DoorShut => self.service.shut(),
-            Input::HandedOver { excluded } => self.handed_over(now, excluded),
-            Input::Changed { caller, result } => self.changed(now, caller, result),
-            Input::ColdPart(part) => self.cold_part(part),
+            Input::ListenerClosed => self.service.shut_down(),
+            Input::ExclusionsLoaded { excluded } => self.handed_over(now, excluded),
+            Input::ExclusionSaved { caller, result } => self.changed(now, caller, result),
+            Input::ColdStartShare(part) => self.cold_part(part),
             Input::Operator { caller, call } => self.operator(now, caller, call),
         }
         self.settle(now);
@@ -327,7 +332,7 @@
         std::mem::take(&mut self.effects)
     }
 
-    /// Does what is due. Only [`Input::Due`] does, which comes after all that a wake has brought: a timer never acts on
+    /// Does what is due. Only [`Input::TimersDue`] does, which comes after all that a wake has brought: a timer never acts on
     /// a client, a machine or an answer of which the news is there, unread.
     fn pass(&mut self, now: Millis) {
         while let Some(entry) = self.dues.first_entry().filter(|entry| entry.key().0 as f64 / 1000.0 <= now) {
@@ -371,7 +376,7 @@
             Action::Probe { cache } => {
                 if self.members.contains_key(&cache) {
                     self.counters.probes += 1;
-                    self.effects.push(Effect::Probe { member: cache });
+                    self.effects.push(Effect::Probe { machine: cache });
                 }
             }
             Action::Subscribe => {} // The board is followed all the time.
@@ -381,12 +386,12 @@
 
     /// How long after SIGTERM there is time to answer.
     fn patience(&self) -> Millis {
-        STILL_COMING_MS + self.longest_ms().min(LONGEST_MS) - BEFORE_KILL_MS
+        STILL_COMING_MS + self.longest_deadline_ms().min(LONGEST_MS) - BEFORE_KILL_MS
     }
 
     fn terminate(&mut self, now: Millis) {
         // Answers are due in any case, but what comes in time is taken first.
-        if !self.service.end(now, self.patience().max(STILL_COMING_MS)) {
+        if !self.service.terminate(now, self.patience().max(STILL_COMING_MS)) {
             return;
         }
         self.at(now + STILL_COMING_MS, Due::StopListening);
@@ -403,7 +408,7 @@
             Due::Apart(key) => {
                 if let Some(call) = self.out.get_mut(&key).and_then(|out| out.parked.take()) {
                     let member = call.fetch.cache.clone();
-                    self.effects.push(Effect::Send { attempt: key, member, call });
+                    self.effects.push(Effect::Send { attempt: key, machine: member, request: call });
                 }
             }
             Due::Unsent(key) => self.pull(now, key),
@@ -413,17 +418,17 @@
             }
             Due::AuditDrain => {
                 // It may have been called back, and evacuated again, since.
-                let over = self.service.evacuated().is_some_and(|since| now - since >= DRAINED_BY_MS);
+                let over = self.service.evacuating_since().is_some_and(|since| now - since >= DRAINED_BY_MS);
                 self.effects.extend(over.then_some(Effect::AuditDrain));
             }
             Due::AnswerAll => {
-                let all: Vec<Client> = self.held.keys().copied().collect();
+                let all: Vec<RequestKey> = self.held.keys().copied().collect();
                 all.into_iter().for_each(|client| self.guard(now, client));
             }
             Due::Exit if self.held.is_empty() && !self.exited => {
                 self.exited = true;
                 // Slow clients may still be reading: they have as long as the platform gives.
-                let kill = self.service.ending().unwrap_or(now) + self.patience() + BEFORE_KILL_MS;
+                let kill = self.service.terminating_since().unwrap_or(now) + self.patience() + BEFORE_KILL_MS;
                 self.effects.push(Effect::Exit { by: kill - LEFT_BEFORE_KILL_MS });
             }
             Due::Exit => self.at(now + 5.0, Due::Exit),
--- a/src/reducer/requests.rs
+++ b/src/reducer/requests.rs
@@ -4,7 +4,7 @@
 use crate::reasons::{AttemptCause, Refusal};
 
 /// What a request is, for plug-ins.
-fn about(ask: &Ask, class: usize, left_ms: Millis) -> About<'_> {
+fn about(ask: &IncomingRequest, class: usize, left_ms: Millis) -> About<'_> {
     About {
         class,
         object: ask.object.as_deref(),
@@ -36,8 +36,8 @@
     pub(super) fn asked(
         &mut self,
         now: Millis,
-        client: Client,
-        ask: Result<Ask, &'static str>,
+        client: RequestKey,
+        ask: Result<IncomingRequest, &'static str>,
         age_ms: Millis,
     ) {
         let known = ask.and_then(|ask| {
@@ -55,25 +55,25 @@
             Err(why) => {
                 self.counters.bad_requests += 1;
                 let reply = Reply::Failed(Failure::BadRequest(why));
-                return self.effects.push(Effect::Answer { client, reply });
+                return self.effects.push(Effect::Answer { key: client, reply });
             }
         };
         self.counters.taken += 1;
         self.counters.repeats += u64::from(ask.repeat);
-        if let Some(reason) = self.service.refuses(now) {
+        if let Some(reason) = self.service.refusal(now) {
             // Its connection, or the process, could end before its answer.
             return self.decline(client, &ask.class, reason);
         }
         let mut guard = now + ask.timeout_ms - age_ms.max(0.0) - GUARD_MS;
-        if let Some(kill) = self.service.ending().map(|at| at + self.patience()) {
+        if let Some(kill) = self.service.terminating_since().map(|at| at + self.patience()) {
             guard = guard.min(kill);
         }
         let no_room = self.held_bytes + ask.body.len() > (self.net.memory as f64 * HELD_BODIES) as usize;
         let most = self.net.max_open.min((self.net.memory as f64 * HELD_STATE / HELD_EACH) as usize);
         let reasons = [
             (self.held.len() >= most, Refusal::TooManyOpen),
-            (no_room, Refusal::BodiesFull),
-            (guard <= now, Refusal::NoTimeLeft),
+            (no_room, Refusal::BodyMemoryFull),
+            (guard <= now, Refusal::DeadlineExpired),
         ];
         if let Some((_, reason)) = reasons.into_iter().find(|(holds, _)| *holds) {
             return self.decline(client, &ask.class, reason);
@@ -114,31 +114,31 @@
     }
 
     /// Refuses a request that is not taken.
-    fn decline(&mut self, client: Client, class: &str, reason: Refusal) {
+    fn decline(&mut self, client: RequestKey, class: &str, reason: Refusal) {
         self.counters.shed += 1;
         self.counters.refused += 1;
         self.counters.reasons.refusals.add(reason);
         self.results.count(class, ops::Disposition::Declined);
         let reply = Reply::Refused { hold_off_ms: None, reason };
-        self.effects.push(Effect::Answer { client, reply });
+        self.effects.push(Effect::Answer { key: client, reply });
     }
 
     /// Refuses a request that is half there, as its connection is about to be closed.
-    pub(super) fn cut_short(&mut self, now: Millis, client: Client) {
-        let reason = self.service.refuses(now).unwrap_or(Refusal::Draining);
+    pub(super) fn cut_short(&mut self, now: Millis, client: RequestKey) {
+        let reason = self.service.refusal(now).unwrap_or(Refusal::Draining);
         self.counters.taken += 1;
         self.counters.refused += 1;
         self.counters.reasons.refusals.add(reason);
         let reply = Reply::Refused { hold_off_ms: None, reason };
-        self.effects.push(Effect::Answer { client, reply });
+        self.effects.push(Effect::Answer { key: client, reply });
     }
 
     /// Answers a request at once, as its connection is about to be closed: refused where a repeat is harmless, so that its
     /// client may try elsewhere, else failed.
-    pub(super) fn give_up(&mut self, now: Millis, client: Client) {
+    pub(super) fn give_up(&mut self, now: Millis, client: RequestKey) {
         let Some(held) = self.held.get(&client) else { return };
         let id = held.id.clone();
-        let reason = self.service.refuses(now).unwrap_or(Refusal::Draining);
+        let reason = self.service.refusal(now).unwrap_or(Refusal::Draining);
         let reply = if self.refusal_is_harmless(held) {
             Reply::Refused { hold_off_ms: None, reason }
         } else {
@@ -149,7 +149,7 @@
     }
 
     /// Ends a request without an answer: its client is gone.
-    pub(super) fn aborted(&mut self, now: Millis, client: Client) {
+    pub(super) fn aborted(&mut self, now: Millis, client: RequestKey) {
         let Some(held) = self.release(client) else { return };
         self.counters.aborted += 1;
         self.results.count(&held.ask.class, ops::Disposition::Aborted);
@@ -159,7 +159,7 @@
     }
 
     /// Nothing more is owed for a request.
-    pub(super) fn release(&mut self, client: Client) -> Option<Held> {
+    pub(super) fn release(&mut self, client: RequestKey) -> Option<Held> {
         let held = self.held.remove(&client)?;
         self.held_bytes -= held.ask.body.len();
         self.open_ids.remove(&held.ask.id);
@@ -202,7 +202,7 @@
             self.results.count(&held.ask.class, how);
             held.out
         });
-        self.effects.push(Effect::Answer { client, reply });
+        self.effects.push(Effect::Answer { key: client, reply });
         self.stop_all(now, out, Outcome::Cancelled, true);
     }
 
@@ -218,7 +218,7 @@
         let key = self.next_attempt;
         held.out.push(key);
         let unsent_ms = UNSENT_DIALS * self.net.dial_timeout_ms;
-        let leave_by = now + fetch.within_ms.map_or(unsent_ms, |within| within.min(unsent_ms));
+        let send_by = now + fetch.within_ms.map_or(unsent_ms, |within| within.min(unsent_ms));
         let out = Out {
             client,
             id: fetch.id.clone(),
@@ -227,7 +227,7 @@
             source: fetch.source.clone(),
             sent: now,
             timeout_ms: fetch.timeout_ms,
-            leave_by,
+            send_by,
             progress: Progress::NotConnected,
             parked: None,
         };
@@ -240,8 +240,11 @@
         if fetch.timeout_ms > 0.0 {
             self.at(now + fetch.timeout_ms, Due::Limit(key));
         }
-        self.at(leave_by, Due::Unsent(key));
-        let (member, call) = (fetch.cache.clone(), Call { ask, fetch, alone, leave_by, cause });
+        self.at(send_by, Due::Unsent(key));
+        let (member, call) = (
+            fetch.cache.clone(),
+            OutgoingRequest { request: ask, fetch, exclusive_connection: alone, send_by, cause },
+        );
         if self.plugins.is_some() {
             self.watch.sent(&member);
         }
@@ -250,12 +253,12 @@
                 out.parked = Some(call);
                 self.at(apart, Due::Apart(key));
             }
-            None => self.effects.push(Effect::Send { attempt: key, member, call }),
+            None => self.effects.push(Effect::Send { attempt: key, machine: member, request: call }),
         }
     }
 
     /// An attempt that may be at work was given up from this side: the next one keeps apart, where it must.
-    fn keep_apart(&mut self, now: Millis, client: Client) {
+    fn keep_apart(&mut self, now: Millis, client: RequestKey) {
         if !self.settings.limits.second_copies {
             self.held.entry(client).and_modify(|held| held.apart = now + APART_MS);
         }
@@ -335,26 +338,26 @@
         Some(bytes as f64 * kb_a_byte).filter(|kb| *kb > 0.0)
     }
 
-    pub(super) fn ended(&mut self, now: Millis, key: AttemptKey, end: End) {
+    pub(super) fn ended(&mut self, now: Millis, key: AttemptKey, end: AttemptEnd) {
         let Some(out) = self.out.get(&key) else { return };
         let (client, id) = (out.client, out.id.clone());
         let mut answer = match end {
-            End::Lost(Progress::NotConnected | Progress::PartlyWritten) => {
+            AttemptEnd::Lost(Progress::NotConnected | Progress::PartlyWritten) => {
                 return self.end(now, key, Outcome::ConnectFailed, None, false);
             }
-            End::Lost(_) => {
+            AttemptEnd::Lost(_) => {
                 self.keep_apart(now, client); // The connection may have ended from this side.
                 return self.end(now, key, Outcome::Reset, None, false);
             }
-            End::NoRoom => return self.end(now, key, Outcome::Moot, None, false),
-            End::Withheld(_) => {
+            AttemptEnd::NoRoom => return self.end(now, key, Outcome::Moot, None, false),
+            AttemptEnd::Withheld(_) => {
                 self.counters.attempt_pulled += 1;
                 return self.end(now, key, Outcome::Moot, None, false);
             }
-            End::Answer(answer) => answer,
+            AttemptEnd::Answer(answer) => answer,
         };
         let Some(held) = self.held.get(&client) else { return };
-        if answer.unchanged && held.ask.holds.is_none() {
+        if answer.unchanged && held.ask.client_tag.is_none() {
             answer.outcome = Outcome::Error; // No copy was named that could be the one.
         }
         let served = answer.outcome == Outcome::Ok;
@@ -393,7 +396,7 @@
     }
 
     /// A request's time is up: its attempts are, too, and if the module then has no answer, there is one.
-    pub(super) fn guard(&mut self, now: Millis, client: Client) {
+    pub(super) fn guard(&mut self, now: Millis, client: RequestKey) {
         let Some(held) = self.held.get(&client) else { return };
         self.stop_all(now, held.out.clone(), Outcome::Timeout, false);
         self.settle(now);
@@ -404,13 +407,13 @@
     }
 
     /// Requests of a client connection that are owed an answer.
-    pub(super) fn open_on(&self, conn: u64) -> Vec<Client> {
-        let all = Client { conn, serial: 0 }..=Client { conn, serial: u64::MAX };
+    pub(super) fn open_on(&self, conn: u64) -> Vec<RequestKey> {
+        let all = RequestKey { conn, serial: 0 }..=RequestKey { conn, serial: u64::MAX };
         self.held.range(all).map(|(client, _)| *client).collect()
     }
 
     /// Fails a request, whatever the module has in mind with it.
-    pub(super) fn fail(&mut self, now: Millis, client: Client, failure: Failure) {
+    pub(super) fn fail(&mut self, now: Millis, client: RequestKey, failure: Failure) {
         let Some(id) = self.held.get(&client).map(|held| held.id.clone()) else { return };
         self.events.push_back(Event::Dropped { id: id.clone() });
         self.answer(now, &id, Reply::Failed(failure));
--- a/src/reducer/words.rs
+++ b/src/reducer/words.rs
@@ -6,7 +6,7 @@
 
 /// A request of a client connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct Client {
+pub struct RequestKey {
     /// The connection.
     pub conn: u64,
     /// Its number there, never used again.
@@ -31,7 +31,7 @@
 
 /// A client's request as it came.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Ask {
+pub struct IncomingRequest {
     /// The client's id for it; passed on.
     pub id: String,
     /// The name of its class.
@@ -49,7 +49,7 @@
     /// The part's size.
     pub size_kb: Option<f64>,
     /// The tag of the client's own copy.
-    pub holds: Option<String>,
+    pub client_tag: Option<String>,
     /// What a keyed class's repeats are known by; passed on with each attempt.
     pub idempotency_key: Option<Box<str>>,
     /// The body; passed on.
@@ -58,15 +58,15 @@
 
 /// What a machine is asked.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Call {
+pub struct OutgoingRequest {
     /// The client's request.
-    pub ask: std::rc::Rc<Ask>,
+    pub request: std::rc::Rc<IncomingRequest>,
     /// What the module decided.
     pub fetch: Fetch,
     /// It must not be repeated, so that it had better share nothing with others that could break.
-    pub alone: bool,
+    pub exclusive_connection: bool,
     /// Its first byte leaves by then, on the clock of the reducer's inputs, or it isn't sent.
-    pub leave_by: Millis,
+    pub send_by: Millis,
     /// Why it is asked.
     pub cause: AttemptCause,
 }
@@ -90,7 +90,7 @@
 
 /// How an attempt ended on the network.
 #[derive(Clone, Debug, PartialEq)]
-pub enum End {
+pub enum AttemptEnd {
     /// With an answer.
     Answer(Answer),
     /// Its connection never came up, or broke.
@@ -105,23 +105,23 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Input {
     /// A request has come whole, `age_ms` after its first byte; or it can't be used.
-    Asked {
+    RequestReceived {
         /// Whose.
-        client: Client,
+        key: RequestKey,
         /// What.
-        ask: Result<Ask, &'static str>,
+        request: Result<IncomingRequest, &'static str>,
         /// How long ago it began to come.
         age_ms: Millis,
     },
     /// Somebody asks whether this router is ready.
     Health {
         /// Who.
-        client: Client,
+        key: RequestKey,
     },
     /// A client has stopped waiting.
     Aborted {
         /// For what.
-        client: Client,
+        key: RequestKey,
     },
     /// Bytes of answers have left for a client, or will never leave.
     Flushed {
@@ -131,23 +131,23 @@
         bytes: usize,
     },
     /// A client's connection has ended, with all that was open on it.
-    Closed {
+    ConnectionClosed {
         /// The connection.
         conn: u64,
     },
     /// What comes on a client's connection can't be read or held: what is open on it is to be answered, as nothing more is
     /// heard of it.
-    Unreadable {
+    ConnectionUnreadable {
         /// The connection.
         conn: u64,
     },
     /// A request that was half there is turned away, as its connection is about to be closed.
-    CutShort {
+    RequestTruncated {
         /// Whose.
-        client: Client,
+        key: RequestKey,
     },
     /// A client's connection is about to be closed: what is open on it is to be answered now.
-    Closing {
+    ConnectionClosing {
         /// The connection.
         conn: u64,
     },
@@ -163,19 +163,19 @@
         /// Which.
         attempt: AttemptKey,
         /// How.
-        end: End,
+        end: AttemptEnd,
     },
     /// A probe has ended.
     Probed {
         /// Of which machine.
-        member: CacheId,
+        machine: CacheId,
         /// How.
         outcome: Outcome,
         /// What it reports.
         report: LoadReport,
     },
     /// An event of the notice board.
-    Notice {
+    DiscoveryEvent {
         /// The event.
         notice: Notice,
         /// The wall clock's time now.
@@ -187,25 +187,25 @@
         unix: UnixTime,
     },
     /// Time has passed.
-    Due,
+    TimersDue,
     /// The operators want it to end.
     Terminate,
     /// [`Effect::StopListening`] is carried out, and what had come by then is read.
-    DoorShut,
+    ListenerClosed,
     /// What operators have taken out, as it is saved for all processes of this router.
-    HandedOver {
+    ExclusionsLoaded {
         /// Those machines.
         excluded: Exclusions,
     },
-    /// The answer to [`Effect::Change`]: what is out now, or why the change doesn't hold.
-    Changed {
+    /// The answer to [`Effect::SaveExclusion`]: what is out now, or why the change doesn't hold.
+    ExclusionSaved {
         /// Who called.
         caller: u64,
         /// What is out, as it is saved.
         result: Result<Exclusions, ops::Verdict>,
     },
     /// The part of the cold budget that this process may spend, as others of this router run beside it.
-    ColdPart(f64),
+    ColdStartShare(f64),
     /// An operator calls.
     Operator {
         /// Who.
@@ -252,7 +252,7 @@
 
 impl Failure {
     /// What the client is told.
-    pub fn words(self) -> &'static str {
+    pub fn message(self) -> &'static str {
         match self {
             Self::BadRequest(why) => why,
             Self::GivenUp(_) => "no way to serve it",
@@ -280,7 +280,7 @@
     /// Answer a client.
     Answer {
         /// Whom.
-        client: Client,
+        key: RequestKey,
         /// What.
         reply: Reply,
     },
@@ -289,9 +289,9 @@
         /// Its number.
         attempt: AttemptKey,
         /// To which machine; the way there is the address book's.
-        member: CacheId,
+        machine: CacheId,
         /// What to ask.
-        call: Call,
+        request: OutgoingRequest,
     },
     /// Give an attempt up: unsend it, or tell the machine.
     Stop {
@@ -301,45 +301,45 @@
     /// Probe a machine.
     Probe {
         /// Which.
-        member: CacheId,
+        machine: CacheId,
     },
     /// The notice board has spoken of a machine; `None`: it is forgotten.
-    Listed {
+    SetListing {
         /// Which.
-        member: CacheId,
+        machine: CacheId,
         /// What it says.
         listing: Option<Listing>,
     },
     /// Close connections to a machine once they carry nothing.
     Retire {
         /// Which.
-        member: CacheId,
+        machine: CacheId,
     },
     /// A machine has started anew: what was connected before is dead.
-    Reborn {
+    MachineRestarted {
         /// Which.
-        member: CacheId,
+        machine: CacheId,
         /// When it started.
         at: Millis,
     },
-    /// Save for all processes that a machine is out, or back: [`Input::Changed`] says whether that holds.
-    Change {
+    /// Save for all processes that a machine is out, or back: [`Input::ExclusionSaved`] says whether that holds.
+    SaveExclusion {
         /// Who called.
         caller: u64,
         /// Which machine.
         name: String,
         /// Whether it is out.
-        out: bool,
+        excluded: bool,
     },
     /// Answer an operator.
-    Verdict {
+    AnswerOperator {
         /// Whom.
         caller: u64,
         /// What.
         verdict: ops::Verdict,
     },
     /// Tell an operator what this router has done.
-    Report {
+    SendTelemetry {
         /// Whom.
         caller: u64,
         /// What.
@@ -347,7 +347,7 @@
     },
     /// A line for the operators.
     Log(String),
-    /// Take no more connections, read what has come by now, and say [`Input::DoorShut`].
+    /// Take no more connections, read what has come by now, and say [`Input::ListenerClosed`].
     StopListening,
     /// The time in which an evacuated router may keep its clients is over: count those that are still there.
     AuditDrain,
--- a/src/runtime/board.rs
+++ b/src/runtime/board.rs
@@ -52,7 +52,8 @@
             let stray = match fed {
                 Ok(Some(news)) => {
                     let unix = UnixTime::now();
-                    let inputs = news.notices.into_iter().map(|notice| Input::Notice { notice, unix });
+                    let inputs =
+                        news.notices.into_iter().map(|notice| Input::DiscoveryEvent { notice, unix });
                     self.inbox.extend(inputs);
                     for doubt in &news.doubts {
                         say!("an event of the board can't be read, and is taken as narrowly as can be: {doubt}");
--- a/src/runtime/clients.rs
+++ b/src/runtime/clients.rs
@@ -3,10 +3,10 @@
 use super::socket::{Io, Sock};
 use super::{Runtime, Source};
 use crate::api::Millis;
-use crate::errno::{self, Verdict};
+use crate::errno::{self, ErrorClass};
 use crate::front::{self, Conn, Standing};
 use crate::reasons::{ClientClose, Reason as _, Violation};
-use crate::reducer::{Client, Input};
+use crate::reducer::{Input, RequestKey};
 use crate::{say, trace_event};
 use rustix::io::Errno;
 use socket2::Socket;
@@ -24,12 +24,14 @@
 
 /// What a client's connection has brought, for the reducer.
 pub(super) fn heard_input(conn: u64, heard: front::Heard) -> Input {
-    let client = |serial| Client { conn, serial };
+    let client = |serial| RequestKey { conn, serial };
     match heard {
-        front::Heard::Asked(serial, ask, age_ms) => Input::Asked { client: client(serial), ask, age_ms },
-        front::Heard::Health(serial) => Input::Health { client: client(serial) },
-        front::Heard::Aborted(serial) => Input::Aborted { client: client(serial) },
-        front::Heard::CutShort(serial) => Input::CutShort { client: client(serial) },
+        front::Heard::Asked(serial, ask, age_ms) => {
+            Input::RequestReceived { key: client(serial), request: ask, age_ms }
+        }
+        front::Heard::Health(serial) => Input::Health { key: client(serial) },
+        front::Heard::Aborted(serial) => Input::Aborted { key: client(serial) },
+        front::Heard::CutShort(serial) => Input::RequestTruncated { key: client(serial) },
     }
 }
 
@@ -63,7 +65,7 @@
         for _ in 0..ACCEPT_AT_ONCE {
             let Some((listener, _)) = &self.listener else { return Accepted::All };
             let listener = listener.clone();
-            if self.fronts.len() >= self.reducer.most_clients() && !self.shed_front() {
+            if self.fronts.len() >= self.reducer.max_client_connections() && !self.shed_front() {
                 return Accepted::Paused;
             }
             match listener.accept() {
@@ -77,18 +79,18 @@
                         say!("an option of a client's connection can't be set: {e}");
                     }
                     let sock = self.watch(Rc::new(Socket::from(stream)), Source::Front(client), true);
-                    let conn = Conn::new(self.now()).patient(self.reducer.longest_ms());
+                    let conn = Conn::new(self.now()).patient(self.reducer.longest_deadline_ms());
                     self.fronts.insert(client, (sock, conn));
                     trace_event!(self.now(), "client_accepted", client, peer = %peer);
                     self.dirty.insert(Source::Front(client));
                     self.bound_lingering();
                 }
-                Err(e) => match errno::verdict(&e) {
-                    Verdict::WouldBlock => return Accepted::All,
-                    Verdict::Interrupted => {}
+                Err(e) => match errno::classify(&e) {
+                    ErrorClass::WouldBlock => return Accepted::All,
+                    ErrorClass::Interrupted => {}
                     // What has become of a connection before it was accepted (accept(2)): the next one may be well.
-                    Verdict::Peer | Verdict::Unreachable => faults += 1,
-                    Verdict::Shortage => {
+                    ErrorClass::Peer | ErrorClass::Unreachable => faults += 1,
+                    ErrorClass::Shortage => {
                         say!("cannot accept: {e}");
                         if Errno::from_io_error(&e) == Some(Errno::MFILE) {
                             self.shed_front(); // Of this process's own descriptors one can be had.
@@ -236,7 +238,7 @@
         let Some((_, conn)) = self.fronts.get_mut(&key) else { return };
         self.coming -= conn.holding();
         conn.finish(reason);
-        self.inbox.push(Input::Unreadable { conn: key });
+        self.inbox.push(Input::ConnectionUnreadable { conn: key });
         self.dirty.insert(Source::Front(key));
     }
 
@@ -284,11 +286,11 @@
             ClientClose::Shed => false, // It doesn't linger: its descriptor is what is wanted.
             ClientClose::Unreadable
             | ClientClose::NoMemory
-            | ClientClose::Silent
+            | ClientClose::RequestTimeout
             | ClientClose::Idle
-            | ClientClose::Deaf
+            | ClientClose::WriteTimeout
             | ClientClose::Draining
-            | ClientClose::NotKept
+            | ClientClose::NoKeepConn
             | ClientClose::ProcessExit => true,
         };
         if peer_is_there && self.write_front(key).is_none() {
@@ -313,13 +315,13 @@
         trace_event!(self.now(), "client_closed", client = key, reason = reason.key(), open, owed, unwritten);
         // One that takes nothing of what it is owed can't be answered either.
         let by_client =
-            matches!(reason, ClientClose::PeerClosed | ClientClose::PeerReset | ClientClose::Deaf);
+            matches!(reason, ClientClose::PeerClosed | ClientClose::PeerReset | ClientClose::WriteTimeout);
         if owed > 0 && !by_client {
             let why = format_args!("client {key} was closed ({reason}) over {owed} requests");
-            self.violated(Violation::ClosedOwing, why);
+            self.violated(Violation::ClosedUnanswered, why);
         }
         self.coming -= conn.holding();
-        self.inbox.push(Input::Closed { conn: key });
+        self.inbox.push(Input::ConnectionClosed { conn: key });
         Some(sock)
     }
 }
--- a/src/runtime/drains.rs
+++ b/src/runtime/drains.rs
@@ -10,7 +10,7 @@
 use crate::front::Conn;
 use crate::reasons::{ClientClose, Violation};
 use crate::reducer::Input;
-use crate::service::{Intake, Service, RECENT_MS};
+use crate::service::{Admission, Service, RECENT_MS};
 use crate::{say, trace_event};
 use std::fmt;
 use std::net::Shutdown;
@@ -24,7 +24,7 @@
     /// Closes the connections whose time has come.
     pub(super) fn drain_clients(&mut self) {
         let now = self.now();
-        if self.reducer.service().intake(now) == Intake::Open {
+        if self.reducer.service().admission(now) == Admission::Open {
             return;
         }
         let ends = |conn: &Conn| conn.at_rest(now) || self.reducer.service().closes_busy(now, conn.latest());
@@ -53,7 +53,7 @@
         let cut_short = conn.cut_short();
         self.coming = self.coming + conn.holding() - before;
         self.inbox.extend(cut_short.into_iter().map(|heard| heard_input(key, heard)));
-        self.inbox.push(Input::Closing { conn: key });
+        self.inbox.push(Input::ConnectionClosing { conn: key });
         self.work();
         if let Some(over) = self.write_front(key) {
             return self.end_front(key, over);
@@ -68,7 +68,7 @@
     /// When a connection that is to be closed may be, as its client has read what was written.
     pub(super) fn drain_due(&self) -> Option<Millis> {
         let now = self.now();
-        if self.reducer.service().intake(now) == Intake::Open {
+        if self.reducer.service().admission(now) == Admission::Open {
             return None;
         }
         let settled = self.fronts.values().filter(|(_, conn)| conn.settled());
@@ -88,7 +88,7 @@
             }
             self.dirty.insert(Source::Front(key));
         }
-        self.inbox.push(Input::DoorShut);
+        self.inbox.push(Input::ListenerClosed);
     }
 
     /// Whether the process may end: nobody is connected and nothing is owed, or its time is up.
@@ -96,7 +96,7 @@
         let closed = || {
             let all = self.fronts.is_empty() && self.lingering.is_empty() && self.listener.is_none();
             // What it has said yes to is to be known to whoever follows.
-            all && self.reducer.open() == 0 && !self.handover.as_ref().is_some_and(Handover::owes)
+            all && self.reducer.open_requests() == 0 && !self.handover.as_ref().is_some_and(Handover::owes)
         };
         self.exit_by.is_some_and(|by| self.now() >= by || closed())
     }
@@ -122,19 +122,19 @@
             return;
         }
         let (from, to) = (before.key(), after.key());
-        let (clients, requests) = (self.fronts.len(), self.reducer.open());
+        let (clients, requests) = (self.fronts.len(), self.reducer.open_requests());
         trace_event!(self.now(), "service_changed", from, to, clients, requests);
         say!(always; "service: {from} -> {to}; clients={clients} requests={requests}");
-        self.drain_told_at = after.evacuated().map(|since| since + TELL_MS);
+        self.drain_told_at = after.evacuating_since().map(|since| since + TELL_MS);
     }
 
     /// Tells each second how many clients an evacuated router still has, until there are none.
     pub(super) fn tell_drain(&mut self, now: Millis) {
-        let Some(since) = self.reducer.service().evacuated() else { return };
+        let Some(since) = self.reducer.service().evacuating_since() else { return };
         if self.drain_told_at.is_none_or(|at| now < at && !self.fronts.is_empty()) {
             return;
         }
-        let (clients, requests, ms) = (self.fronts.len(), self.reducer.open(), now - since);
+        let (clients, requests, ms) = (self.fronts.len(), self.reducer.open_requests(), now - since);
         say!("evacuating for {ms:.0} ms: clients={clients} requests={requests}");
         self.drain_told_at = (clients > 0).then_some(now + TELL_MS);
     }
@@ -149,7 +149,7 @@
             held.map(|(key, (_, conn))| (*key, recent(conn), conn.unwritten())).collect();
         for (client, recent, unwritten) in held {
             let why = format_args!("client {client} has {recent} recent requests, {unwritten} bytes unread");
-            self.violated(Violation::HeldPastDrain, why);
+            self.violated(Violation::ConnectedPastDrain, why);
         }
     }
 
--- a/src/runtime/events.rs
+++ b/src/runtime/events.rs
@@ -6,7 +6,7 @@
 use crate::api::Millis;
 use crate::log::tracing::{enabled, Level};
 use crate::reasons::Reason as _;
-use crate::reducer::{Effect, End, Failure, Input, Reply};
+use crate::reducer::{AttemptEnd, Effect, Failure, Input, Reply};
 use crate::trace_event;
 
 /// An input is given to the reducer.
@@ -15,25 +15,25 @@
         return;
     }
     match input {
-        Input::Asked { client, ask, age_ms } => {
+        Input::RequestReceived { key: client, request: ask, age_ms } => {
             let (connection, serial) = (client.conn, client.serial);
             let request = ask.as_ref().map_or("-", |ask| ask.id.as_str());
             let why = ask.as_ref().err().copied().unwrap_or("");
             trace_event!(now, "request_read", request, client = connection, serial, age_ms, why);
         }
-        Input::Aborted { client } => {
+        Input::Aborted { key: client } => {
             trace_event!(now, "request_aborted", client = client.conn, serial = client.serial);
         }
-        Input::CutShort { client } => {
+        Input::RequestTruncated { key: client } => {
             trace_event!(now, "request_cut_short", client = client.conn, serial = client.serial);
         }
-        Input::Closing { conn } => trace_event!(now, "client_closing", client = conn),
+        Input::ConnectionClosing { conn } => trace_event!(now, "client_closing", client = conn),
         Input::Ended { attempt, end } => {
             let how = match end {
-                End::Answer(answer) => format!("{:?}", answer.outcome),
-                End::Lost(progress) => format!("lost {progress:?}"),
-                End::NoRoom => "no room".to_owned(),
-                End::Withheld(reason) => reason.key().to_owned(),
+                AttemptEnd::Answer(answer) => format!("{:?}", answer.outcome),
+                AttemptEnd::Lost(progress) => format!("lost {progress:?}"),
+                AttemptEnd::NoRoom => "no room".to_owned(),
+                AttemptEnd::Withheld(reason) => reason.key().to_owned(),
             };
             trace_event!(now, "attempt_ended", attempt, how);
         }
@@ -41,18 +41,18 @@
             trace_event!(now, "attempt_progressed", attempt, progress = ?progress);
         }
         Input::Terminate => trace_event!(now, "told_to_end",),
-        Input::DoorShut => trace_event!(now, "stopped_listening",),
+        Input::ListenerClosed => trace_event!(now, "stopped_listening",),
         Input::Health { .. }
         | Input::Flushed { .. }
-        | Input::Closed { .. }
-        | Input::Unreadable { .. }
+        | Input::ConnectionClosed { .. }
+        | Input::ConnectionUnreadable { .. }
         | Input::Probed { .. }
-        | Input::Notice { .. }
+        | Input::DiscoveryEvent { .. }
         | Input::ClocksRead { .. }
-        | Input::Due
-        | Input::HandedOver { .. }
-        | Input::Changed { .. }
-        | Input::ColdPart(_)
+        | Input::TimersDue
+        | Input::ExclusionsLoaded { .. }
+        | Input::ExclusionSaved { .. }
+        | Input::ColdStartShare(_)
         | Input::Operator { .. } => {}
     }
 }
@@ -63,23 +63,23 @@
         return;
     }
     match effect {
-        Effect::Answer { client, reply } => {
+        Effect::Answer { key: client, reply } => {
             let (client, serial, (answer, reason)) = (client.conn, client.serial, answer(reply));
             trace_event!(now, "request_answered", client, serial, answer, reason);
         }
-        Effect::Send { attempt, member, call } => {
-            let (request, endpoint, cause) = (call.ask.id.as_str(), member.as_str(), call.cause.key());
+        Effect::Send { attempt, machine: member, request: call } => {
+            let (request, endpoint, cause) = (call.request.id.as_str(), member.as_str(), call.cause.key());
             trace_event!(now, "attempt_queued", attempt, request, endpoint, cause);
         }
         Effect::Stop { attempt } => trace_event!(now, "attempt_stopped", attempt),
         Effect::Exit { by } => trace_event!(now, "all_answered", exit_by_ms = by),
         Effect::Probe { .. }
-        | Effect::Listed { .. }
+        | Effect::SetListing { .. }
         | Effect::Retire { .. }
-        | Effect::Reborn { .. }
-        | Effect::Change { .. }
-        | Effect::Verdict { .. }
-        | Effect::Report { .. }
+        | Effect::MachineRestarted { .. }
+        | Effect::SaveExclusion { .. }
+        | Effect::AnswerOperator { .. }
+        | Effect::SendTelemetry { .. }
         | Effect::Log(_)
         | Effect::StopListening
         | Effect::AuditDrain => {}
--- a/src/runtime/fleet.rs
+++ b/src/runtime/fleet.rs
@@ -173,8 +173,8 @@
 
     /// The fleet's turn, if it is due.
     pub(super) fn fleet_due(&mut self) {
-        let succeeded =
-            self.reducer.ends() && self.handover.as_ref().is_some_and(|handover| handover.succeeded());
+        let succeeded = self.reducer.is_terminating()
+            && self.handover.as_ref().is_some_and(|handover| handover.succeeded());
         let Some(seat) = &mut self.seat else { return };
         if succeeded {
             // Without a word: the successor is the same member, and speaks at once.
--- a/src/runtime/handover.rs
+++ b/src/runtime/handover.rs
@@ -200,11 +200,11 @@
 impl Runtime {
     /// Takes over what another process of this router has saved, if there is anything new, and keeps the file fresh.
     pub(super) fn take_state(&mut self) {
-        let ends = self.reducer.ends();
+        let ends = self.reducer.is_terminating();
         let Some(handover) = &mut self.handover else { return };
         let reducer = &self.reducer;
         handover.store.folder_mut().show_alive();
-        handover.store.upkeep(Now::read(), ends, |name| reducer.lists(name));
+        handover.store.upkeep(Now::read(), ends, |name| reducer.is_listed(name));
         self.heed_state();
     }
 
@@ -213,17 +213,17 @@
         let Some(handover) = &mut self.handover else { return };
         let excluded = handover.store.state().excluded();
         if excluded.differing(self.reducer.excluded()).next().is_some() {
-            self.inbox.push(Input::HandedOver { excluded: excluded.clone() });
+            self.inbox.push(Input::ExclusionsLoaded { excluded: excluded.clone() });
         }
         let part = handover.store.cold_part(BootTime::now());
         if std::mem::replace(&mut handover.part, part) != part {
-            self.inbox.push(Input::ColdPart(part));
+            self.inbox.push(Input::ColdStartShare(part));
         }
     }
 
     /// Saves an operator's change for all processes, or says why it doesn't hold.
     pub(super) fn change_state(&mut self, caller: u64, name: &str, out: bool) {
-        let ends = self.reducer.ends();
+        let ends = self.reducer.is_terminating();
         let Some(handover) = &mut self.handover else { return };
         let result = match handover.store.call(Now::read(), ends, name, out) {
             Ok(()) => Ok(handover.store.state().excluded().clone()),
@@ -237,7 +237,7 @@
                 Err(Verdict::Unsaved)
             }
         };
-        self.step(Input::Changed { caller, result });
+        self.step(Input::ExclusionSaved { caller, result });
     }
 
     /// This process ends: whoever runs on has the whole budget.
--- a/src/runtime/lingering.rs
+++ b/src/runtime/lingering.rs
@@ -40,7 +40,7 @@
     /// Ends those that have lingered longest where there are too many.
     pub(super) fn bound_lingering(&mut self) {
         let reserved = ((self.sockets as f64 * LINGER_SHARE) as usize).max(1);
-        let most = reserved + self.reducer.most_clients().saturating_sub(self.fronts.len());
+        let most = reserved + self.reducer.max_client_connections().saturating_sub(self.fronts.len());
         while self.lingering.len() > most {
             let oldest = self.lingering.iter().min_by(|(_, a), (_, b)| a.until.total_cmp(&b.until));
             let Some(oldest) = oldest.map(|(source, _)| *source) else { break };
--- a/src/runtime/machines.rs
+++ b/src/runtime/machines.rs
@@ -7,7 +7,7 @@
 use crate::api::{CacheId, LoadReport, Outcome};
 use crate::back::{self, DialEnd, Dialling, Leave, LinkKey, Unsent};
 use crate::reasons::{EndpointClose, Reason as _, Violation};
-use crate::reducer::{AttemptKey, Call, End, Input, Progress};
+use crate::reducer::{AttemptEnd, AttemptKey, Input, OutgoingRequest, Progress};
 use crate::{say, trace_event};
 use std::io;
 use std::rc::Rc;
@@ -18,17 +18,17 @@
 impl Runtime {
     pub(super) fn probe_failed(&mut self, member: crate::api::CacheId) {
         let (outcome, report) = (Outcome::ConnectFailed, LoadReport::default());
-        self.inbox.push(Input::Probed { member, outcome, report });
+        self.inbox.push(Input::Probed { machine: member, outcome, report });
     }
 
     /// Queues an attempt.
-    pub(super) fn send(&mut self, attempt: AttemptKey, member: &CacheId, call: &Call) {
+    pub(super) fn send(&mut self, attempt: AttemptKey, member: &CacheId, call: &OutgoingRequest) {
         match self.links.send(self.now(), attempt, member, call) {
             Ok((key, _)) => self.queued(key),
-            Err(Unsent::NoRoom) => self.inbox.push(Input::Ended { attempt, end: End::NoRoom }),
+            Err(Unsent::NoRoom) => self.inbox.push(Input::Ended { attempt, end: AttemptEnd::NoRoom }),
             Err(Unsent::NoPath) => {
                 say!({ machine = %member, attempt } "no address of {member} is its own now");
-                self.inbox.push(Input::Ended { attempt, end: End::Lost(Progress::NotConnected) });
+                self.inbox.push(Input::Ended { attempt, end: AttemptEnd::Lost(Progress::NotConnected) });
             }
         }
     }
@@ -176,9 +176,11 @@
                 let counters = &mut self.reducer.counters;
                 self.inbox.push(match heard {
                     back::Heard::Answer(attempt, answer) => {
-                        Input::Ended { attempt, end: End::Answer(answer) }
+                        Input::Ended { attempt, end: AttemptEnd::Answer(answer) }
+                    }
+                    back::Heard::Probe(member, outcome, report) => {
+                        Input::Probed { machine: member, outcome, report }
                     }
-                    back::Heard::Probe(member, outcome, report) => Input::Probed { member, outcome, report },
                     back::Heard::Greeted => continue,
                     back::Heard::Late => {
                         counters.answers_late += 1;
@@ -241,10 +243,10 @@
             Err(reason) => {
                 trace_event!(self.now(), "attempt_withheld", attempt, reason = reason.key());
                 if reason.is_violation() {
-                    self.violated(Violation::Begin, format_args!("attempt {attempt}: {reason}"));
+                    self.violated(Violation::ForbiddenSend, format_args!("attempt {attempt}: {reason}"));
                 }
                 self.links.withhold(self.now(), key);
-                self.inbox.push(Input::Ended { attempt, end: End::Withheld(reason) });
+                self.inbox.push(Input::Ended { attempt, end: AttemptEnd::Withheld(reason) });
                 false
             }
         }
@@ -260,9 +262,9 @@
                 | EndpointClose::Broken
                 | EndpointClose::Unreadable
                 | EndpointClose::Stalled
-                | EndpointClose::NotUp
+                | EndpointClose::ConnectTimeout
                 | EndpointClose::NoGreeting
-                | EndpointClose::NotWanted
+                | EndpointClose::NotNeeded
                 | EndpointClose::NoRoom
                 | EndpointClose::WrongName
                 | EndpointClose::Restarted
@@ -272,7 +274,9 @@
         self.reducer.counters.reasons.endpoint_closes.add(why);
         let machine = self.links.member(key).map(CacheId::to_string).unwrap_or_default();
         let endpoint = self.links.endpoint(key).cloned();
-        for (_, endpoint) in self.links.dials(key).into_iter().filter(|_| why == EndpointClose::NotUp) {
+        for (_, endpoint) in
+            self.links.dials(key).into_iter().filter(|_| why == EndpointClose::ConnectTimeout)
+        {
             self.reducer.counters.dials_failed += 1;
             say!({ machine, address = %endpoint, outcome = %why } "no connection to {endpoint}: {why}");
         }
@@ -284,8 +288,8 @@
             EndpointClose::WrongName => Some(Failure::WrongName),
             EndpointClose::Unreadable
             | EndpointClose::Idle
-            | EndpointClose::NotUp
-            | EndpointClose::NotWanted
+            | EndpointClose::ConnectTimeout
+            | EndpointClose::NotNeeded
             | EndpointClose::NoRoom
             | EndpointClose::Restarted
             | EndpointClose::Panic => None,
@@ -303,7 +307,8 @@
                 "connection to {endpoint} lost with {attempts} attempts: {why}");
         }
         for (attempt, progress) in ended.lost {
-            let end = if why == EndpointClose::NoRoom { End::NoRoom } else { End::Lost(progress) };
+            let end =
+                if why == EndpointClose::NoRoom { AttemptEnd::NoRoom } else { AttemptEnd::Lost(progress) };
             self.inbox.push(Input::Ended { attempt, end });
         }
         ended.probes.into_iter().for_each(|member| self.probe_failed(member));
--- a/src/runtime/mod.rs
+++ b/src/runtime/mod.rs
@@ -83,13 +83,13 @@
     pub fn push(&mut self, input: Input) {
         match input {
             Input::Progressed { .. } => return self.0.push_front(input),
-            Input::Closed { conn } => {
+            Input::ConnectionClosed { conn } => {
                 self.0.retain(|other| {
-                    !matches!(other, Input::Asked { client, .. } | Input::Health { client } if client.conn == conn)
+                    !matches!(other, Input::RequestReceived { key: client, .. } | Input::Health { key: client } if client.conn == conn)
                 });
             }
-            Input::Aborted { client: gone } => {
-                let same = |other: &Input| matches!(other, Input::Asked { client, .. } if *client == gone);
+            Input::Aborted { key: gone } => {
+                let same = |other: &Input| matches!(other, Input::RequestReceived { key: client, .. } if *client == gone);
                 if let Some(at) = self.0.iter().position(same) {
                     self.0.remove(at);
                     return;
@@ -205,7 +205,7 @@
     let seat =
         operator.fleet.map(|set| fleet::Seat::take(&handle, set, &config.name, config.seed)).transpose()?;
     let net = &config.net;
-    let most = reducer.most_links();
+    let most = reducer.max_endpoint_connections();
     let links = Links::with_rules(
         net.dial_timeout_ms,
         net.idle_ms,
@@ -256,7 +256,7 @@
         seat,
     };
     let unix = UnixTime::now();
-    state.inbox.extend(config.known.into_iter().map(|notice| Input::Notice { notice, unix }));
+    state.inbox.extend(config.known.into_iter().map(|notice| Input::DiscoveryEvent { notice, unix }));
     state.record = operator.record;
     state.load_plugins(operator.plugins);
     state.take_state();
@@ -289,7 +289,7 @@
     let until = Instant::now() + START_PATIENCE;
     loop {
         match call() {
-            Err(e) if errno::may_pass(&e) && Instant::now() < until => std::thread::sleep(SHORTAGE_PAUSE),
+            Err(e) if errno::is_transient(&e) && Instant::now() < until => std::thread::sleep(SHORTAGE_PAUSE),
             done => return done,
         }
     }
@@ -305,7 +305,7 @@
     loop {
         let Err(refused) = handle.insert_source(signals, noted) else { return Ok(()) };
         let error = io_error(refused.error);
-        if !errno::may_pass(&error) || Instant::now() >= until {
+        if !errno::is_transient(&error) || Instant::now() >= until {
             return Err(error);
         }
         signals = refused.inserted;
@@ -339,7 +339,7 @@
         let seat = self.seat.as_ref().and_then(fleet::Seat::due_in).map(|wait| self.now() + wait);
         let (links, lingering) = (self.links.next_due(), self.lingering_due());
         let handover = self.handover.as_ref().map(|handover| self.now() + handover.due_in());
-        let intake = self.reducer.service().next_intake(self.now());
+        let intake = self.reducer.service().next_admission_change(self.now());
         let own = [
             intake,
             self.drain_due(),
@@ -349,7 +349,7 @@
             self.starved_until,
             self.reload_at,
         ];
-        let dues = [self.reducer.next_due(), links, board, seat, lingering].into_iter().chain(own);
+        let dues = [self.reducer.next_deadline(), links, board, seat, lingering].into_iter().chain(own);
         dues.flatten().fold(f64::INFINITY, f64::min)
     }
 
@@ -359,7 +359,7 @@
             match signal {
                 Signal::SIGUSR1 => {
                     let (clients, links) = (self.fronts.len(), self.links.count());
-                    let (requests, machines) = (self.reducer.open(), self.reducer.known_machines());
+                    let (requests, machines) = (self.reducer.open_requests(), self.reducer.known_machines());
                     say!(always; "now clients={clients} links={links} requests={requests} machines={machines}");
                     say!(always; "{}", self.reducer.counters);
                     for (name, counts) in self.reducer.plugins().into_iter().flat_map(|all| all.counts()) {
@@ -369,7 +369,7 @@
                 }
                 Signal::SIGHUP => self.reload(),
                 _ => {
-                    say!("told to end; {} requests are open", self.reducer.open());
+                    say!("told to end; {} requests are open", self.reducer.open_requests());
                     self.inbox.push(Input::Terminate);
                 }
             }
@@ -409,8 +409,8 @@
         if self.watch.due <= self.now() {
             self.poll_board();
         }
-        if self.reducer.next_due().is_some_and(|at| at <= self.now()) {
-            self.inbox.push(Input::Due);
+        if self.reducer.next_deadline().is_some_and(|at| at <= self.now()) {
+            self.inbox.push(Input::TimersDue);
         }
         self.work();
         if self.handover.as_ref().is_some_and(|handover| handover.due_in() <= 0.0) {
@@ -527,7 +527,7 @@
     fn carry_out(&mut self, now: Millis, effect: Effect) {
         events::effect(now, &effect);
         match effect {
-            Effect::Answer { client, reply } => {
+            Effect::Answer { key: client, reply } => {
                 if let Some((_, conn)) = self.fronts.get_mut(&client.conn) {
                     let owed = conn.answer(client.serial, &reply);
                     self.dirty.insert(Source::Front(client.conn));
@@ -538,27 +538,31 @@
                     }
                 }
             }
-            Effect::Send { attempt, member, call } => self.send(attempt, &member, &call),
+            Effect::Send { attempt, machine: member, request: call } => self.send(attempt, &member, &call),
             Effect::Stop { attempt } => {
                 if let Some(key) = self.links.stop(now, attempt) {
                     self.dirty.insert(Source::Link(key));
                 }
             }
-            Effect::Probe { member } => match self.links.probe(now, &member) {
+            Effect::Probe { machine: member } => match self.links.probe(now, &member) {
                 Ok((key, _)) => self.queued(key),
                 Err(_) => self.probe_failed(member),
             },
-            Effect::Listed { member, listing: Some(listing) } => self.links.list(&member, listing),
-            Effect::Listed { member, listing: None } => self.links.forget(&member),
-            Effect::Retire { member } => self.links.retire(&member),
-            Effect::Reborn { member, at } => {
+            Effect::SetListing { machine: member, listing: Some(listing) } => {
+                self.links.list(&member, listing)
+            }
+            Effect::SetListing { machine: member, listing: None } => self.links.forget(&member),
+            Effect::Retire { machine: member } => self.links.retire(&member),
+            Effect::MachineRestarted { machine: member, at } => {
                 for key in self.links.older(&member, at) {
                     self.link_down(key, EndpointClose::Restarted);
                 }
             }
-            Effect::Change { caller, name, out } => self.change_state(caller, &name, out),
-            Effect::Verdict { caller, verdict } => self.answer_caller(caller, ops::answer(Ok(verdict))),
-            Effect::Report { caller, mut telemetry } => {
+            Effect::SaveExclusion { caller, name, excluded: out } => self.change_state(caller, &name, out),
+            Effect::AnswerOperator { caller, verdict } => {
+                self.answer_caller(caller, ops::answer(Ok(verdict)))
+            }
+            Effect::SendTelemetry { caller, mut telemetry } => {
                 telemetry.fleet = self.seat.as_ref().and_then(fleet::Seat::figures);
                 self.answer_caller(caller, ops::report(&telemetry));
             }
@@ -592,7 +596,7 @@
         self.most_coming = (config.net.memory as f64 * COMING_IN) as usize;
         self.sockets = config.net.sockets;
         self.reducer.set_net(config.net);
-        self.links.set_most(self.reducer.most_links());
+        self.links.set_most(self.reducer.max_endpoint_connections());
         self.links.set_rules(operator.addresses);
         self.record = operator.record;
         self.load_plugins(operator.plugins);
--- a/src/runtime/operators.rs
+++ b/src/runtime/operators.rs
@@ -2,7 +2,7 @@
 
 use super::socket::{listen, register, Io, Sock};
 use super::{Runtime, Source};
-use crate::errno::{self, Verdict};
+use crate::errno::{self, ErrorClass};
 use crate::ops::control::Place;
 use crate::ops::{self, MAX_CALLERS, WHOLE_MS};
 use crate::reducer::Input;
@@ -36,11 +36,11 @@
         loop {
             let stream = match self.ops_places[at].listener.accept() {
                 Ok((stream, _)) => stream,
-                Err(e) => match errno::verdict(&e) {
-                    Verdict::WouldBlock => return,
-                    Verdict::Interrupted => continue,
+                Err(e) => match errno::classify(&e) {
+                    ErrorClass::WouldBlock => return,
+                    ErrorClass::Interrupted => continue,
                     // No readiness will tell of those that still wait.
-                    Verdict::Peer | Verdict::Unreachable | Verdict::Shortage => {
+                    ErrorClass::Peer | ErrorClass::Unreachable | ErrorClass::Shortage => {
                         return self.starve(Source::Callers);
                     }
                 },
--- a/src/runtime/socket.rs
+++ b/src/runtime/socket.rs
@@ -3,7 +3,7 @@
 use super::{Runtime, Source};
 use crate::addresses::{Endpoint, Failure};
 use crate::back::DialEnd;
-use crate::errno::{self, Verdict};
+use crate::errno::{self, ErrorClass};
 use calloop::generic::Generic;
 use calloop::{Interest, LoopHandle, Mode, PostAction, Readiness, RegistrationToken};
 use rustix::io::Errno;
@@ -93,14 +93,14 @@
 
 /// What it says of a path that its dial has ended with an error, at once or later.
 pub(super) fn dial_end(endpoint: &Endpoint, error: &io::Error) -> DialEnd {
-    match (errno::verdict(error), endpoint) {
-        (Verdict::Shortage | Verdict::Interrupted, _) => DialEnd::NoRoom,
+    match (errno::classify(error), endpoint) {
+        (ErrorClass::Shortage | ErrorClass::Interrupted, _) => DialEnd::NoRoom,
         // A Unix socket's connect says so where the peer's queue is full, any other's where ports are short.
-        (Verdict::WouldBlock, Endpoint::Unix(_)) => DialEnd::Failed(Failure::Refused),
-        (Verdict::WouldBlock, Endpoint::Tcp(_)) => DialEnd::NoRoom,
-        (Verdict::Unreachable, _) => DialEnd::Unreachable,
-        (Verdict::Peer, _) if error.kind() == ErrorKind::TimedOut => DialEnd::Failed(Failure::NotUp),
-        (Verdict::Peer, _) => DialEnd::Failed(Failure::Refused),
+        (ErrorClass::WouldBlock, Endpoint::Unix(_)) => DialEnd::Failed(Failure::Refused),
+        (ErrorClass::WouldBlock, Endpoint::Tcp(_)) => DialEnd::NoRoom,
+        (ErrorClass::Unreachable, _) => DialEnd::Unreachable,
+        (ErrorClass::Peer, _) if error.kind() == ErrorKind::TimedOut => DialEnd::Failed(Failure::NotUp),
+        (ErrorClass::Peer, _) => DialEnd::Failed(Failure::Refused),
     }
 }
 
@@ -120,14 +120,14 @@
         match io() {
             Ok(0) => return Err(Io::Closed),
             Ok(bytes) => return Ok(bytes),
-            Err(e) => match errno::verdict(&e) {
-                Verdict::Interrupted => {}
-                Verdict::WouldBlock => {
+            Err(e) => match errno::classify(&e) {
+                ErrorClass::Interrupted => {}
+                ErrorClass::WouldBlock => {
                     *able = false;
                     return Err(Io::Blocked);
                 }
-                Verdict::Shortage => return Err(Io::Starved),
-                Verdict::Unreachable | Verdict::Peer => return Err(Io::Broken),
+                ErrorClass::Shortage => return Err(Io::Starved),
+                ErrorClass::Unreachable | ErrorClass::Peer => return Err(Io::Broken),
             },
         }
     }
--- a/src/service/exclusions.rs
+++ b/src/service/exclusions.rs
@@ -9,7 +9,7 @@
 use std::fmt;
 
 /// Names that may be out at once. One more is refused: none that still binds is dropped for it.
-pub const MOST: usize = 512;
+pub const MAX_EXCLUSIONS: usize = 512;
 /// A name is forgotten this long after the board last listed its machine: longer than any restart takes.
 pub const GONE_MS: Millis = 24.0 * 3600.0 * 1000.0;
 
@@ -19,7 +19,7 @@
 
 impl fmt::Display for TooMany {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{MOST} machines are out already")
+        write!(f, "{MAX_EXCLUSIONS} machines are out already")
     }
 }
 
@@ -31,7 +31,7 @@
 
 impl Exclusions {
     /// Whether a machine is out.
-    pub fn holds(&self, name: &str) -> bool {
+    pub fn contains(&self, name: &str) -> bool {
         self.0.contains_key(name)
     }
 
@@ -47,7 +47,7 @@
 
     /// Takes a machine out, or back. Out twice and back once is back.
     pub fn change(&mut self, name: &str, out: bool, now: BootTime) -> Result<(), TooMany> {
-        if out && self.0.len() >= MOST && !self.holds(name) {
+        if out && self.0.len() >= MAX_EXCLUSIONS && !self.contains(name) {
             return Err(TooMany);
         }
         self.set(name, out, now);
@@ -64,12 +64,12 @@
     }
 
     /// When a machine that is out was last listed, or taken out.
-    pub fn listed(&self, name: &str) -> Option<BootTime> {
+    pub fn last_listed(&self, name: &str) -> Option<BootTime> {
         self.0.get(name).copied()
     }
 
     /// Notes which are still listed, and forgets those that are long gone. Times from the future are cut to now.
-    pub fn age(&mut self, now: BootTime, listed: impl Fn(&str) -> bool) {
+    pub fn expire(&mut self, now: BootTime, listed: impl Fn(&str) -> bool) {
         self.0.retain(|name, heard| {
             let future = now.since(*heard) < 0.0;
             *heard = if listed(name) || future { now } else { *heard };
@@ -79,7 +79,7 @@
 
     /// Names whose state differs between the two.
     pub fn differing<'a>(&'a self, other: &'a Self) -> impl Iterator<Item = &'a str> {
-        let only = |one: &'a Self, two: &'a Self| one.names().filter(|name| !two.holds(name));
+        let only = |one: &'a Self, two: &'a Self| one.names().filter(|name| !two.contains(name));
         only(self, other).chain(only(other, self))
     }
 }
--- a/src/service/exclusions/tests.rs
+++ b/src/service/exclusions/tests.rs
@@ -3,23 +3,23 @@
 #[test]
 fn names_are_bounded_by_count_and_age_and_none_that_binds_is_dropped() {
     let mut out = Exclusions::default();
-    for at in 0..MOST {
+    for at in 0..MAX_EXCLUSIONS {
         assert_eq!(out.change(&format!("s-{at}"), true, BootTime(0.0)), Ok(()));
     }
     assert_eq!(out.change("one-more", true, BootTime(0.0)), Err(TooMany));
     assert_eq!(
-        (out.change("s-3", true, BootTime(5.0)), out.holds("s-0"), out.holds("one-more")),
+        (out.change("s-3", true, BootTime(5.0)), out.contains("s-0"), out.contains("one-more")),
         (Ok(()), true, false)
     );
     // Listed ones stay however long; the others go a day after they were last heard of.
-    out.age(BootTime(GONE_MS), |_| false);
-    assert_eq!(out.names().count(), MOST);
-    out.age(BootTime(GONE_MS + 1.0), |name| name == "s-1");
+    out.expire(BootTime(GONE_MS), |_| false);
+    assert_eq!(out.names().count(), MAX_EXCLUSIONS);
+    out.expire(BootTime(GONE_MS + 1.0), |name| name == "s-1");
     assert_eq!(out.names().collect::<Vec<_>>(), ["s-1", "s-3"], "s-3 was taken out again later");
-    out.age(BootTime(3.0 * GONE_MS), |name| name == "s-1");
+    out.expire(BootTime(3.0 * GONE_MS), |name| name == "s-1");
     assert_eq!(out.names().collect::<Vec<_>>(), ["s-1"]);
-    out.age(BootTime(0.0), |_| false);
-    out.age(BootTime(GONE_MS + 1.0), |_| false);
+    out.expire(BootTime(0.0), |_| false);
+    out.expire(BootTime(GONE_MS + 1.0), |_| false);
     assert!(out.is_empty(), "a clock that was set back keeps none for ever");
 }
 
--- a/src/service/mod.rs
+++ b/src/service/mod.rs
@@ -3,11 +3,11 @@
 //! Owns the state; sockets, requests and machines are others'. Each input gives the next state, and what follows
 //! (whether it is ready, what becomes of a client's connection) is read off it.
 //!
-//! | state | `/alive`, `/api/ready` | new connections | requests and connections ([`Intake`]) |
+//! | state | `/alive`, `/api/ready` | new connections | requests and connections ([`Admission`]) |
 //! | --- | --- | --- | --- |
 //! | starting, no machine known | no | taken | taken and kept |
 //! | serving | yes | taken | taken and kept |
-//! | evacuating | no | taken: they come until the front has heard of it | by the age of the call, [`Intake`] in its order |
+//! | evacuating | no | taken: they come until the front has heard of it | by the age of the call, [`Admission`] in its order |
 //! | ending | no | taken for a while | taken and kept, or as the evacuation before it has it |
 //! | shut | no | not taken | refused, and closed at rest; later what is left is answered and closed |
 //!
@@ -18,7 +18,7 @@
 
 use crate::api::Millis;
 use crate::reasons::Refusal;
-pub use exclusions::{Exclusions, TooMany, MOST};
+pub use exclusions::{Exclusions, TooMany, MAX_EXCLUSIONS};
 
 /// The front has heard a no by then, and clients bring nothing new: what is at rest may be closed.
 const HEARD_MS: Millis = 500.0;
@@ -35,24 +35,24 @@
 
 /// What is done with requests that come, and with clients' connections; each step takes more away than the one before.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Intake {
+pub enum Admission {
     /// Requests are taken, connections are kept.
     Open,
     /// Requests are taken; a connection at rest is closed.
-    CloseAtRest,
+    CloseIdle,
     /// Requests are refused as they come; a connection at rest is closed.
     Refuse,
     /// What is open on a connection is answered, what is half read on it is refused, and it is closed.
     Close,
 }
 
-impl Intake {
+impl Admission {
     /// What an evacuation so long ago has come to.
     fn of_evacuation(age_ms: Millis) -> Self {
         match age_ms {
             age if age >= CLOSE_MS => Self::Close,
             age if age >= REFUSE_MS => Self::Refuse,
-            age if age >= HEARD_MS => Self::CloseAtRest,
+            age if age >= HEARD_MS => Self::CloseIdle,
             _ => Self::Open,
         }
     }
@@ -60,7 +60,7 @@
 
 /// An end that was asked for.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct End {
+pub struct Termination {
     /// When it was.
     at: Millis,
     /// By then all is answered, and connections are closed.
@@ -78,9 +78,9 @@
     /// Operators have it emptied, since then.
     Evacuating(Millis),
     /// It was told to end.
-    Ending(End),
+    Terminating(Termination),
     /// It was told to end, and takes nothing more.
-    Shut(End),
+    ShuttingDown(Termination),
 }
 
 impl Service {
@@ -88,7 +88,7 @@
     pub fn evacuate(&mut self, now: Millis) {
         match self {
             Self::Serving => *self = Self::Evacuating(now),
-            Self::Evacuating(_) | Self::Ending(_) | Self::Shut(_) => {}
+            Self::Evacuating(_) | Self::Terminating(_) | Self::ShuttingDown(_) => {}
         }
     }
 
@@ -96,60 +96,61 @@
     pub fn rejoin(&mut self) -> bool {
         match self {
             Self::Serving | Self::Evacuating(_) => *self = Self::Serving,
-            Self::Ending(_) | Self::Shut(_) => return false,
+            Self::Terminating(_) | Self::ShuttingDown(_) => return false,
         }
         true
     }
 
     /// It is told to end, with so long to answer what is open; false if it was before.
-    pub fn end(&mut self, now: Millis, patience_ms: Millis) -> bool {
+    pub fn terminate(&mut self, now: Millis, patience_ms: Millis) -> bool {
         let evacuated = match self {
             Self::Serving => None,
             Self::Evacuating(since) => Some(*since),
-            Self::Ending(_) | Self::Shut(_) => return false,
+            Self::Terminating(_) | Self::ShuttingDown(_) => return false,
         };
-        *self = Self::Ending(End { at: now, close_at: now + patience_ms, evacuated });
+        *self = Self::Terminating(Termination { at: now, close_at: now + patience_ms, evacuated });
         true
     }
 
     /// All that came in time has been taken: nothing more is. Only one that ends is shut.
-    pub fn shut(&mut self) {
+    pub fn shut_down(&mut self) {
         match self {
-            Self::Ending(end) => *self = Self::Shut(*end),
-            Self::Serving | Self::Evacuating(_) | Self::Shut(_) => {}
+            Self::Terminating(end) => *self = Self::ShuttingDown(*end),
+            Self::Serving | Self::Evacuating(_) | Self::ShuttingDown(_) => {}
         }
     }
 
     /// What is done now with what comes. An end takes nothing back of an evacuation.
-    pub fn intake(&self, now: Millis) -> Intake {
-        let evacuation = self.evacuated().map_or(Intake::Open, |since| Intake::of_evacuation(now - since));
+    pub fn admission(&self, now: Millis) -> Admission {
+        let evacuation =
+            self.evacuating_since().map_or(Admission::Open, |since| Admission::of_evacuation(now - since));
         match self {
-            Self::Serving | Self::Evacuating(_) | Self::Ending(_) => evacuation,
-            Self::Shut(end) if now >= end.close_at => Intake::Close,
-            Self::Shut(_) => evacuation.max(Intake::Refuse),
+            Self::Serving | Self::Evacuating(_) | Self::Terminating(_) => evacuation,
+            Self::ShuttingDown(end) if now >= end.close_at => Admission::Close,
+            Self::ShuttingDown(_) => evacuation.max(Admission::Refuse),
         }
     }
 
     /// When the intake changes next by the clock alone.
-    pub fn next_intake(&self, now: Millis) -> Option<Millis> {
+    pub fn next_admission_change(&self, now: Millis) -> Option<Millis> {
         let evacuation = [HEARD_MS, REFUSE_MS, CLOSE_MS];
-        let steps = self.evacuated().into_iter().flat_map(|since| evacuation.map(|step| since + step));
+        let steps = self.evacuating_since().into_iter().flat_map(|since| evacuation.map(|step| since + step));
         let close_at = match self {
-            Self::Shut(end) => Some(end.close_at),
-            Self::Serving | Self::Evacuating(_) | Self::Ending(_) => None,
+            Self::ShuttingDown(end) => Some(end.close_at),
+            Self::Serving | Self::Evacuating(_) | Self::Terminating(_) => None,
         };
-        let takes_more = |at: &Millis| *at > now && self.intake(*at) > self.intake(now);
+        let takes_more = |at: &Millis| *at > now && self.admission(*at) > self.admission(now);
         steps.chain(close_at).filter(takes_more).reduce(f64::min)
     }
 
     /// Why a request that is read now is refused, if it is.
-    pub fn refuses(&self, now: Millis) -> Option<Refusal> {
-        if self.intake(now) < Intake::Refuse {
+    pub fn refusal(&self, now: Millis) -> Option<Refusal> {
+        if self.admission(now) < Admission::Refuse {
             return None;
         }
         match self {
-            Self::Shut(_) => Some(Refusal::ShuttingDown),
-            Self::Serving | Self::Evacuating(_) | Self::Ending(_) => Some(Refusal::Draining),
+            Self::ShuttingDown(_) => Some(Refusal::ShuttingDown),
+            Self::Serving | Self::Evacuating(_) | Self::Terminating(_) => Some(Refusal::Draining),
         }
     }
 
@@ -157,37 +158,37 @@
     /// nothing is owed on it, but half a record has come). One on which nothing has come since an evacuated router refuses
     /// requests may wait for its answers.
     pub fn closes_busy(&self, now: Millis, latest: Option<Millis>) -> bool {
-        if self.intake(now) < Intake::Close {
+        if self.admission(now) < Admission::Close {
             return false;
         }
         match self {
-            Self::Shut(end) if now >= end.close_at => true,
-            Self::Serving | Self::Evacuating(_) | Self::Ending(_) | Self::Shut(_) => {
-                let refused_from = self.evacuated().map_or(0.0, |since| since + REFUSE_MS);
+            Self::ShuttingDown(end) if now >= end.close_at => true,
+            Self::Serving | Self::Evacuating(_) | Self::Terminating(_) | Self::ShuttingDown(_) => {
+                let refused_from = self.evacuating_since().map_or(0.0, |since| since + REFUSE_MS);
                 latest.is_none_or(|latest| latest >= refused_from)
             }
         }
     }
 
     /// Since when operators have it emptied, if they do.
-    pub fn evacuated(&self) -> Option<Millis> {
+    pub fn evacuating_since(&self) -> Option<Millis> {
         match self {
             Self::Serving => None,
             Self::Evacuating(since) => Some(*since),
-            Self::Ending(end) | Self::Shut(end) => end.evacuated,
+            Self::Terminating(end) | Self::ShuttingDown(end) => end.evacuated,
         }
     }
 
     /// Since when it ends.
-    pub fn ending(&self) -> Option<Millis> {
+    pub fn terminating_since(&self) -> Option<Millis> {
         match self {
-            Self::Ending(end) | Self::Shut(end) => Some(end.at),
+            Self::Terminating(end) | Self::ShuttingDown(end) => Some(end.at),
             Self::Serving | Self::Evacuating(_) => None,
         }
     }
 
     /// Whether clients are wanted, as far as it is this state's to say.
-    pub fn takes_clients(&self) -> bool {
+    pub fn accepts_clients(&self) -> bool {
         *self == Self::Serving
     }
 
@@ -196,8 +197,8 @@
         match self {
             Self::Serving => "serving",
             Self::Evacuating(_) => "evacuating",
-            Self::Ending(_) => "ending",
-            Self::Shut(_) => "shut",
+            Self::Terminating(_) => "ending",
+            Self::ShuttingDown(_) => "shut",
         }
     }
 }
--- a/tests/addresses.rs
+++ b/tests/addresses.rs
@@ -4,7 +4,7 @@
 use frostturn::api::{CacheId, Millis, Phase};
 use frostturn::back::{DialEnd, Dialling, Links};
 use frostturn::reasons::{AttemptCause, EndpointClose};
-use frostturn::reducer::{Ask, Call, Progress};
+use frostturn::reducer::{IncomingRequest, OutgoingRequest, Progress};
 use quickcheck::{Arbitrary, Gen, QuickCheck, Testable};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -254,8 +254,8 @@
     assert_eq!((won.endpoint, won.losers), (v4(1), vec![(2, v6(1), true)]), "the earlier one was overtaken");
 }
 
-fn call(id: &str, alone: bool) -> Call {
-    let ask = Ask { id: id.into(), class: "swap".into(), ..Ask::default() };
+fn call(id: &str, alone: bool) -> OutgoingRequest {
+    let ask = IncomingRequest { id: id.into(), class: "swap".into(), ..IncomingRequest::default() };
     let fetch = frostturn::api::Fetch {
         id: id.into(),
         cache: "a".into(),
@@ -268,7 +268,13 @@
         keep: frostturn::api::Keep::No,
         within_ms: None,
     };
-    Call { ask: ask.into(), fetch, alone, leave_by: f64::INFINITY, cause: AttemptCause::First }
+    OutgoingRequest {
+        request: ask.into(),
+        fetch,
+        exclusive_connection: alone,
+        send_by: f64::INFINITY,
+        cause: AttemptCause::First,
+    }
 }
 
 fn links() -> (Links, CacheId) {
@@ -318,7 +324,7 @@
     links.stop(91.0, 1);
     let closed = links.poll(91.0).into_iter().filter(|one| matches!(one, Dialling::Close(_))).count();
     assert_eq!((closed, links.dials(key).len()), (2, 0));
-    assert_eq!(links.expired(91.0), [(key, EndpointClose::NotWanted)]);
+    assert_eq!(links.expired(91.0), [(key, EndpointClose::NotNeeded)]);
     assert!(links.send(92.0, 2, &a, &call("two", false)).is_err(), "there is no way to it");
 }
 
--- a/tests/clock_steps.rs
+++ b/tests/clock_steps.rs
@@ -6,7 +6,7 @@
 use frostturn::api::*;
 use frostturn::board::{Listed, Notice, Word};
 use frostturn::clock::UnixTime;
-use frostturn::reducer::{Ask, Client, Effect, Input, Reducer};
+use frostturn::reducer::{Effect, IncomingRequest, Input, Reducer, RequestKey};
 
 /// The Unix time at 0.
 const UNIX_MS: Millis = 1.7e12;
@@ -43,24 +43,25 @@
         self.rev += 1;
         let notice = Notice { rev: self.rev, word: Some(word) };
         let unix = self.unix(now);
-        self.reducer.step(now, Input::Notice { notice, unix })
+        self.reducer.step(now, Input::DiscoveryEvent { notice, unix })
     }
 
     /// The oldest copy that is asked for now.
     fn oldest(&mut self, now: Millis) -> Option<Millis> {
         let serial = now as u64;
-        let ask = Ask {
+        let ask = IncomingRequest {
             id: format!("{serial:016x}"),
             class: "read".into(),
             timeout_ms: 900.0,
             object: Some("song".into()),
             size_kb: Some(10.0),
-            ..Ask::default()
+            ..IncomingRequest::default()
         };
-        let client = Client { conn: 1, serial };
-        let effects = self.reducer.step(now, Input::Asked { client, ask: Ok(ask), age_ms: 0.0 });
+        let client = RequestKey { conn: 1, serial };
+        let effects =
+            self.reducer.step(now, Input::RequestReceived { key: client, request: Ok(ask), age_ms: 0.0 });
         effects.iter().find_map(|effect| match effect {
-            Effect::Send { call, .. } => Some(call.fetch.max_age_ms),
+            Effect::Send { request: call, .. } => Some(call.fetch.max_age_ms),
             _ => None,
         })?
     }
@@ -98,7 +99,7 @@
         let entry = || Listed { since_unix_ms, ..common::listed("e1", "edge", Phase::Serving) };
         let told = |effects: &[Effect]| {
             effects.iter().find_map(|effect| match effect {
-                Effect::Listed { listing: Some(listing), .. } => listing.cold_until,
+                Effect::SetListing { listing: Some(listing), .. } => listing.cold_until,
                 _ => None,
             })
         };
@@ -109,6 +110,6 @@
         // Told again, it is the same start, and nothing that was connected since is dead.
         let effects = router.hears(heard + 1000.0, Word::Pool { whole: false, machines: vec![entry()] });
         assert_eq!(told(&effects), Some(until), "a step of {step_ms} at {step_at}");
-        assert!(!effects.iter().any(|effect| matches!(effect, Effect::Reborn { .. })));
+        assert!(!effects.iter().any(|effect| matches!(effect, Effect::MachineRestarted { .. })));
     }
 }
--- a/tests/connections.rs
+++ b/tests/connections.rs
@@ -6,7 +6,7 @@
 use frostturn::fastcgi::{self, kind, Decoder, Fault, Record};
 use frostturn::front::{Conn, Heard, Standing};
 use frostturn::reasons::{AttemptCause, ClientClose, EndpointClose, Refusal};
-use frostturn::reducer::{Ask, Call, Failure, Progress, Reply};
+use frostturn::reducer::{Failure, IncomingRequest, OutgoingRequest, Progress, Reply};
 use frostturn::resp;
 use quickcheck::{Arbitrary, Gen, QuickCheck, Testable};
 use std::collections::{BTreeMap, BTreeSet};
@@ -146,7 +146,7 @@
                         continue;
                     };
                     assert_eq!((ask.body.len(), ask.timeout_ms), (body, 1500.0));
-                    assert_eq!((ask.class.as_str(), ask.holds.as_deref()), ("page", Some("4be0")));
+                    assert_eq!((ask.class.as_str(), ask.client_tag.as_deref()), ("page", Some("4be0")));
                     open.insert(request, Some(*serial));
                 }
                 Front::Abort { request } => {
@@ -310,7 +310,7 @@
     assert_eq!(Conn::new(1000.0).standing(2900.0), Standing::Good);
     assert_eq!(
         Conn::new(1000.0).standing(3100.0),
-        Standing::Over(ClientClose::Silent),
+        Standing::Over(ClientClose::RequestTimeout),
         "it never says anything"
     );
     let mut conn = Conn::new(0.0);
@@ -335,7 +335,7 @@
     assert!(conn.answer(2, &Reply::Failed(Failure::BadRequest("late"))) && conn.answer(1, &Reply::Unchanged));
     assert_eq!(
         (conn.standing(13_000.0), conn.standing(13_300.0)),
-        (Standing::Good, Standing::Over(ClientClose::Deaf)),
+        (Standing::Good, Standing::Over(ClientClose::WriteTimeout)),
         "deaf"
     );
     let unwritten = conn.unwritten();
@@ -455,8 +455,13 @@
     }
 }
 
-fn call(id: &str) -> Call {
-    let ask = Ask { id: id.into(), class: "page".into(), object: Some("7f3a".into()), ..Ask::default() };
+fn call(id: &str) -> OutgoingRequest {
+    let ask = IncomingRequest {
+        id: id.into(),
+        class: "page".into(),
+        object: Some("7f3a".into()),
+        ..IncomingRequest::default()
+    };
     let fetch = Fetch {
         id: id.into(),
         cache: "m".into(),
@@ -469,7 +474,13 @@
         keep: Keep::Middle,
         within_ms: None,
     };
-    Call { ask: ask.into(), fetch, alone: false, leave_by: f64::INFINITY, cause: AttemptCause::First }
+    OutgoingRequest {
+        request: ask.into(),
+        fetch,
+        exclusive_connection: false,
+        send_by: f64::INFINITY,
+        cause: AttemptCause::First,
+    }
 }
 
 fn reply(id: &str, word: &str) -> Vec<u8> {
@@ -656,7 +667,7 @@
     }
     let ask = ask_with("c7ab15fa3c57c2968256bea080fceb6d").expect("good");
     let (mut links, member) = (links(), CacheId::from("m"));
-    let call = Call { ask: ask.into(), ..call("a") };
+    let call = OutgoingRequest { request: ask.into(), ..call("a") };
     let (key, _) = links.send(0.0, 5, &member, &call).expect("room");
     up(&mut links, 0.0, key);
     let text = String::from_utf8_lossy(links.output(key).expect("it is up")).into_owned();
@@ -777,7 +788,7 @@
 #[test]
 fn what_must_not_be_repeated_shares_no_connection_and_moves_are_bounded() {
     let (mut links, member) = (links(), CacheId::from("m"));
-    let alone = |id: &str| Call { alone: true, ..call(id) };
+    let alone = |id: &str| OutgoingRequest { exclusive_connection: true, ..call(id) };
     let keys = [alone("a"), call("b"), call("c"), alone("d")];
     let keys = keys.iter().zip(1..).map(|(call, at)| links.send(0.0, at, &member, call));
     let keys: Vec<u64> = keys.map(|sent| sent.expect("room").0).collect();
@@ -820,7 +831,10 @@
 fn connections_end_when_idle_retired_or_not_up_in_time() {
     let (mut links, member) = (links(), CacheId::from("m"));
     let (key, _) = links.send(0.0, 1, &member, &call("a")).expect("room");
-    assert_eq!((links.expired(399.0), links.expired(400.0)), (vec![], vec![(key, EndpointClose::NotUp)]));
+    assert_eq!(
+        (links.expired(399.0), links.expired(400.0)),
+        (vec![], vec![(key, EndpointClose::ConnectTimeout)])
+    );
     up(&mut links, 10.0, key);
     assert!(links.expired(60_000.0).is_empty(), "it carries something");
     links.stop(50.0, 1);
--- a/tests/model.rs
+++ b/tests/model.rs
@@ -97,7 +97,7 @@
 
 fn names(file: &[u8]) -> Option<BTreeSet<usize>> {
     let state = State::read(file, LISTEN, BOOT, NOW).ok()?;
-    Some((0..NAMES.len()).filter(|at| state.excluded().holds(NAMES[*at])).collect())
+    Some((0..NAMES.len()).filter(|at| state.excluded().contains(NAMES[*at])).collect())
 }
 
 impl Router {
@@ -232,7 +232,9 @@
             }
             Act::Terminate => {
                 let mut service = Service::default();
-                assert!(service.takes_clients() && service.end(1.0, 1000.0) && !service.takes_clients());
+                assert!(
+                    service.accepts_clients() && service.terminate(1.0, 1000.0) && !service.accepts_clients()
+                );
                 world.processes[0].phase = Phase::Ending;
             }
             Act::Exit(at) | Act::Die(at) => {
--- a/tests/ops.rs
+++ b/tests/ops.rs
@@ -8,7 +8,7 @@
 use frostturn::clock::{BootTime, UnixTime};
 use frostturn::handover::{Now, State};
 use frostturn::ops::{Call, Verdict};
-use frostturn::reducer::{Ask, Client, Effect, Input, Reducer};
+use frostturn::reducer::{Effect, IncomingRequest, Input, Reducer, RequestKey};
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 use std::collections::BTreeSet;
 
@@ -79,7 +79,7 @@
 impl Process {
     fn start(now: f64, file: &[u8]) -> Self {
         let mut reducer = Reducer::new(common::settings(), common::net(), 7, now, UnixTime(UNIX_MS));
-        reducer.step(now, Input::Notice { notice: whole(), unix: UnixTime(UNIX_MS) });
+        reducer.step(now, Input::DiscoveryEvent { notice: whole(), unix: UnixTime(UNIX_MS) });
         let saved = State::new(LISTEN, BOOT);
         let mut process = Self { reducer, known: NAMES.into(), heeds: BTreeSet::new(), saved };
         process.look(now, file);
@@ -90,7 +90,7 @@
     fn step(&mut self, now: f64, input: Input) -> Vec<Effect> {
         let effects = self.reducer.step(now, input);
         for effect in &effects {
-            if let Effect::Send { member, call, .. } = effect {
+            if let Effect::Send { machine: member, request: call, .. } = effect {
                 assert!(!self.heeds.contains(member.as_str()), "{member} is out");
                 assert!(!self.heeds.contains(call.fetch.source.as_str()), "nor is it a fill's source");
             }
@@ -103,13 +103,13 @@
         self.saved = State::read(file, LISTEN, BOOT, NOW).unwrap_or_else(|_| self.saved.clone());
         let excluded = self.saved.excluded().clone();
         self.heeds = excluded.names().map(str::to_owned).collect();
-        self.step(now, Input::HandedOver { excluded })
+        self.step(now, Input::ExclusionsLoaded { excluded })
     }
 }
 
 fn verdicts(effects: &[Effect]) -> Vec<Verdict> {
     let verdict = |effect: &Effect| match effect {
-        Effect::Verdict { verdict, .. } => Some(*verdict),
+        Effect::AnswerOperator { verdict, .. } => Some(*verdict),
         _ => None,
     };
     effects.iter().filter_map(verdict).collect()
@@ -133,11 +133,11 @@
                     };
                     let machines = vec![listed(NAMES[at], "edge", phase)];
                     let notice = Notice { rev: 1, word: Some(Word::Pool { whole: false, machines }) };
-                    process.step(now, Input::Notice { notice, unix: NOW.unix })
+                    process.step(now, Input::DiscoveryEvent { notice, unix: NOW.unix })
                 }
                 Step::Whole => {
                     process.known = NAMES.into();
-                    process.step(now, Input::Notice { notice: whole(), unix: NOW.unix })
+                    process.step(now, Input::DiscoveryEvent { notice: whole(), unix: NOW.unix })
                 }
                 Step::Call(at, out, fate) => {
                     let name = NAMES[at];
@@ -145,7 +145,7 @@
                     let call = if out { Call::Exclude(name.into()) } else { Call::Include(name.into()) };
                     effects.extend(process.step(now, Input::Operator { caller: 1, call }));
                     let may = process.known.contains(name) || (!out && process.heeds.contains(name));
-                    let change = Effect::Change { caller: 1, name: name.into(), out };
+                    let change = Effect::SaveExclusion { caller: 1, name: name.into(), excluded: out };
                     assert_eq!(effects.contains(&change), may, "a name that the board doesn't know is a no");
                     if !may {
                         assert_eq!(verdicts(&effects), [Verdict::Unknown]);
@@ -176,7 +176,7 @@
                         }
                     }
                     let before = process.reducer.excluded().clone();
-                    let answer = Input::Changed { caller: 1, result: result.clone() };
+                    let answer = Input::ExclusionSaved { caller: 1, result: result.clone() };
                     effects.extend(process.step(now, answer));
                     let verdict = result.map_or_else(|why| why, |_| Verdict::Yes);
                     assert_eq!(verdicts(&effects), [verdict], "one word to a call");
@@ -188,26 +188,26 @@
                 Step::Look => {
                     let effects = process.look(now, &file);
                     for name in &promised {
-                        assert!(process.reducer.excluded().holds(name), "{name} was promised");
+                        assert!(process.reducer.excluded().contains(name), "{name} was promised");
                     }
                     effects
                 }
                 Step::Ask => {
                     serial += 1;
-                    let ask = Ask {
+                    let ask = IncomingRequest {
                         id: format!("{serial:016x}"),
                         class: "read".into(),
                         timeout_ms: 3000.0,
                         object: Some(format!("{:016x}", serial % 40)),
                         size_kb: Some(10.0),
-                        ..Ask::default()
+                        ..IncomingRequest::default()
                     };
-                    let client = Client { conn: 1, serial };
-                    process.step(now, Input::Asked { client, ask: Ok(ask), age_ms: 0.0 })
+                    let client = RequestKey { conn: 1, serial };
+                    process.step(now, Input::RequestReceived { key: client, request: Ok(ask), age_ms: 0.0 })
                 }
                 Step::Wait(ms) => {
                     now += f64::from(ms);
-                    process.step(now, Input::Due)
+                    process.step(now, Input::TimersDue)
                 }
             };
         }
@@ -238,23 +238,24 @@
                 listed("o0", "origin", Phase::Serving),
             ];
             let notice = Notice { rev: 1, word: Some(Word::Pool { whole: true, machines }) };
-            reducer.step(0.0, Input::Notice { notice, unix: UnixTime(UNIX_MS) });
-            reducer.step(0.0, Input::ColdPart(*part));
+            reducer.step(0.0, Input::DiscoveryEvent { notice, unix: UnixTime(UNIX_MS) });
+            reducer.step(0.0, Input::ColdStartShare(*part));
             for serial in (1..=2000).filter(|serial| serial % parts.len() as u64 == at as u64) {
-                let ask = Ask {
+                let ask = IncomingRequest {
                     id: format!("{serial:016x}"),
                     class: "read".into(),
                     timeout_ms: 3000.0,
                     object: Some(format!("{serial:016x}")),
                     size_kb: Some(100.0),
-                    ..Ask::default()
+                    ..IncomingRequest::default()
                 };
-                let client = Client { conn: 1, serial };
+                let client = RequestKey { conn: 1, serial };
                 let now = 1.5 * serial as f64;
-                let effects = reducer.step(now, Input::Asked { client, ask: Ok(ask), age_ms: 0.0 });
-                let to_it = |effect: &&Effect| matches!(effect, Effect::Send { member, .. } if member.as_str() == "e0");
+                let effects =
+                    reducer.step(now, Input::RequestReceived { key: client, request: Ok(ask), age_ms: 0.0 });
+                let to_it = |effect: &&Effect| matches!(effect, Effect::Send { machine: member, .. } if member.as_str() == "e0");
                 sent += effects.iter().filter(to_it).count() as f64;
-                reducer.step(now, Input::Closed { conn: 1 });
+                reducer.step(now, Input::ConnectionClosed { conn: 1 });
             }
         }
         sent
--- a/tests/plugins.rs
+++ b/tests/plugins.rs
@@ -9,7 +9,9 @@
 use frostturn::plugins::engine::{Fault, Hook, Instance};
 use frostturn::plugins::guard::{self, Allowed};
 use frostturn::plugins::{Loaded, Spec};
-use frostturn::reducer::{Answer, Ask, Client, Effect, End, Input, Progress, Reducer, Reply};
+use frostturn::reducer::{
+    Answer, AttemptEnd, Effect, IncomingRequest, Input, Progress, Reducer, Reply, RequestKey,
+};
 use frostturn_plugin_kit::{self as kit, Advice as Said, Machine, ViewHead};
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 use std::collections::BTreeMap;
@@ -227,9 +229,9 @@
     reducer: Reducer,
     now: f64,
     next: u64,
-    out: BTreeMap<u64, (Client, String)>,
-    replies: BTreeMap<Client, Vec<Reply>>,
-    attempts: BTreeMap<Client, u32>,
+    out: BTreeMap<u64, (RequestKey, String)>,
+    replies: BTreeMap<RequestKey, Vec<Reply>>,
+    attempts: BTreeMap<RequestKey, u32>,
     lines: Vec<String>,
 }
 
@@ -266,20 +268,22 @@
 
     fn list(&mut self, whole: bool, machines: Vec<Listed>) {
         let notice = Notice { rev: 1, word: Some(Word::Pool { whole, machines }) };
-        self.step(Input::Notice { notice, unix: UnixTime(1e12 + self.now) });
+        self.step(Input::DiscoveryEvent { notice, unix: UnixTime(1e12 + self.now) });
     }
 
     fn step(&mut self, input: Input) {
         for effect in self.reducer.step(self.now, input) {
             match effect {
-                Effect::Send { attempt, member, call } => {
-                    let client =
-                        Client { conn: 1, serial: u64::from_str_radix(&call.ask.id, 16).expect("ours") };
+                Effect::Send { attempt, machine: member, request: call } => {
+                    let client = RequestKey {
+                        conn: 1,
+                        serial: u64::from_str_radix(&call.request.id, 16).expect("ours"),
+                    };
                     *self.attempts.entry(client).or_default() += 1;
                     self.out.insert(attempt, (client, member.to_string()));
                 }
                 Effect::Stop { attempt } => drop(self.out.remove(&attempt)),
-                Effect::Answer { client, reply } => self.replies.entry(client).or_default().push(reply),
+                Effect::Answer { key: client, reply } => self.replies.entry(client).or_default().push(reply),
                 Effect::Log(line) => self.lines.push(line),
                 _ => {}
             }
@@ -289,22 +293,22 @@
     /// Asks for an object; where its first attempt went, if anywhere.
     fn ask(&mut self, class: &str, object: u64) -> Option<String> {
         self.next += 1;
-        let client = Client { conn: 1, serial: self.next };
-        let ask = Ask {
+        let client = RequestKey { conn: 1, serial: self.next };
+        let ask = IncomingRequest {
             id: format!("{:016x}", self.next),
             class: class.into(),
             timeout_ms: 3000.0,
             object: Some(format!("{object:016x}")),
             size_kb: Some(10.0),
             group: 3,
-            ..Ask::default()
+            ..IncomingRequest::default()
         };
-        self.step(Input::Asked { client, ask: Ok(ask), age_ms: 0.0 });
+        self.step(Input::RequestReceived { key: client, request: Ok(ask), age_ms: 0.0 });
         self.out.values().find(|(of, _)| *of == client).map(|(_, member)| member.clone())
     }
 
     /// All that is out ends so.
-    fn end_all(&mut self, end: &End) {
+    fn end_all(&mut self, end: &AttemptEnd) {
         for attempt in self.out.keys().copied().collect::<Vec<_>>() {
             self.out.remove(&attempt);
             let progress = Progress::WrittenWhole;
@@ -314,8 +318,8 @@
     }
 }
 
-fn done() -> End {
-    End::Answer(Answer {
+fn done() -> AttemptEnd {
+    AttemptEnd::Answer(Answer {
         outcome: frostturn::api::Outcome::Ok,
         body: vec![1],
         unchanged: false,
@@ -368,7 +372,7 @@
     let mut rig = Rig::new(&[("two", text)], &["fragile", "read"]);
     for object in 0..50 {
         assert!(rig.ask("fragile", object).is_some(), "it isn't refused");
-        rig.end_all(&End::Lost(Progress::WrittenWhole));
+        rig.end_all(&AttemptEnd::Lost(Progress::WrittenWhole));
         rig.now += 20.0;
     }
     assert!(rig.attempts.values().all(|attempts| *attempts == 1), "it may have run");
--- a/tests/reducer.rs
+++ b/tests/reducer.rs
@@ -64,23 +64,29 @@
         self.rev += 1;
         let notice = Notice { rev: self.rev, word: Some(word) };
         let unix_ms = UNIX_MS + self.now - START_MS;
-        self.step(Input::Notice { notice, unix: UnixTime(unix_ms) })
+        self.step(Input::DiscoveryEvent { notice, unix: UnixTime(unix_ms) })
     }
 
-    fn client(&self) -> Client {
-        Client { conn: 1, serial: self.serial }
+    fn client(&self) -> RequestKey {
+        RequestKey { conn: 1, serial: self.serial }
     }
 
     fn ask(&mut self, class: &str, timeout_ms: Millis) -> Vec<Effect> {
         self.serial += 1;
         let (id, class) = (format!("c{}", self.serial), class.to_owned());
-        let ask =
-            Ask { id, class, timeout_ms, object: Some("song".into()), size_kb: Some(10.0), ..Ask::default() };
-        self.step(Input::Asked { client: self.client(), ask: Ok(ask), age_ms: 0.0 })
+        let ask = IncomingRequest {
+            id,
+            class,
+            timeout_ms,
+            object: Some("song".into()),
+            size_kb: Some(10.0),
+            ..IncomingRequest::default()
+        };
+        self.step(Input::RequestReceived { key: self.client(), request: Ok(ask), age_ms: 0.0 })
     }
 
     fn lost(&mut self, attempt: AttemptKey, progress: Progress) -> Vec<Effect> {
-        self.step(Input::Ended { attempt, end: End::Lost(progress) })
+        self.step(Input::Ended { attempt, end: AttemptEnd::Lost(progress) })
     }
 
     fn answered(
@@ -92,7 +98,7 @@
     ) -> Vec<Effect> {
         let (note, source_wait_ms, report) = (None, None, LoadReport::default());
         let answer = Answer { outcome, body: vec![1; body], unchanged, note, source_wait_ms, report };
-        self.step(Input::Ended { attempt, end: End::Answer(answer) })
+        self.step(Input::Ended { attempt, end: AttemptEnd::Answer(answer) })
     }
 
     /// Lets time pass in steps of a millisecond.
@@ -101,7 +107,7 @@
         let mut effects = Vec::new();
         while self.now < end {
             self.now += 1.0;
-            effects.extend(self.step(Input::Due));
+            effects.extend(self.step(Input::TimersDue));
         }
         effects
     }
@@ -109,7 +115,7 @@
 
 fn sent(effects: &[Effect]) -> (AttemptKey, Fetch) {
     let found = effects.iter().find_map(|effect| match effect {
-        Effect::Send { attempt, call, .. } => Some((*attempt, call.fetch.clone())),
+        Effect::Send { attempt, request: call, .. } => Some((*attempt, call.fetch.clone())),
         _ => None,
     });
     found.unwrap_or_else(|| panic!("nothing sent in {effects:?}"))
@@ -135,7 +141,7 @@
     assert_eq!(replies(&rig.answered(first, Outcome::Ok, 5, false)), [Reply::Served(vec![1; 5])]);
     assert_eq!(replies(&rig.answered(first, Outcome::Ok, 5, false)), []);
     assert_eq!(replies(&rig.wait(5000.0)), [], "nor at its deadline");
-    assert_eq!((rig.reducer.open(), rig.reducer.counters.served), (0, 1));
+    assert_eq!((rig.reducer.open_requests(), rig.reducer.counters.served), (0, 1));
 }
 
 #[test]
@@ -172,9 +178,14 @@
     }
     // Its time counts from when it began to come.
     let mut rig = Rig::new();
-    let ask = Ask { id: "x".into(), class: "read".into(), timeout_ms: 500.0, ..Ask::default() };
-    let client = Client { conn: 9, serial: 1 };
-    let effects = rig.step(Input::Asked { client, ask: Ok(ask), age_ms: 480.0 });
+    let ask = IncomingRequest {
+        id: "x".into(),
+        class: "read".into(),
+        timeout_ms: 500.0,
+        ..IncomingRequest::default()
+    };
+    let client = RequestKey { conn: 9, serial: 1 };
+    let effects = rig.step(Input::RequestReceived { key: client, request: Ok(ask), age_ms: 480.0 });
     assert!(matches!(replies(&effects)[..], [Reply::Refused { .. }]), "too late to do anything");
 }
 
@@ -183,13 +194,13 @@
     let mut rig = Rig::new();
     let (attempt, _) = sent(&rig.ask("read", 1000.0));
     let client = rig.client();
-    let effects = rig.step(Input::Aborted { client });
+    let effects = rig.step(Input::Aborted { key: client });
     assert!(has(&effects, &Effect::Stop { attempt }) && replies(&effects).is_empty());
     let (attempt, _) = sent(&rig.ask("read", 1000.0));
-    let effects = rig.step(Input::Closed { conn: 1 });
+    let effects = rig.step(Input::ConnectionClosed { conn: 1 });
     assert!(has(&effects, &Effect::Stop { attempt }));
     assert_eq!(replies(&rig.wait(1200.0)), []);
-    assert_eq!((rig.reducer.open(), rig.reducer.counters.aborted), (0, 2));
+    assert_eq!((rig.reducer.open_requests(), rig.reducer.counters.aborted), (0, 2));
 }
 
 #[test]
@@ -222,7 +233,7 @@
         let other = if fetch.cache == "e1".into() { "e2" } else { "e1" };
         let machines = vec![listed(other, "edge", "east", Phase::Draining, None)];
         rig.word(Word::Pool { whole: false, machines });
-        rig.step(Input::Aborted { client: rig.client() });
+        rig.step(Input::Aborted { key: rig.client() });
         let after = rig.wait(100.0);
         assert!(!after.iter().any(|effect| matches!(effect, Effect::Send { .. })), "{after:?}");
         // What never left is no reason to wait, and a final answer is none to be held back.
@@ -242,12 +253,12 @@
     rig.step(Input::Progressed { attempt, progress: Progress::WrittenWhole });
     // Its time is up, and so is that of its attempt; another client is heard first.
     rig.now += 3000.0;
-    let other = Client { conn: 2, serial: 1 };
-    let answered = Effect::Answer { client: other, reply: Reply::Health(true) };
-    assert_eq!(rig.step(Input::Health { client: other }), [answered], "and nothing else");
-    let stopped = rig.step(Input::Aborted { client: rig.client() });
+    let other = RequestKey { conn: 2, serial: 1 };
+    let answered = Effect::Answer { key: other, reply: Reply::Health(true) };
+    assert_eq!(rig.step(Input::Health { key: other }), [answered], "and nothing else");
+    let stopped = rig.step(Input::Aborted { key: rig.client() });
     assert_eq!(stopped, [Effect::Stop { attempt }], "not answered, not tried again");
-    assert!(rig.step(Input::Due).iter().all(|effect| matches!(effect, Effect::Log(_))));
+    assert!(rig.step(Input::TimersDue).iter().all(|effect| matches!(effect, Effect::Log(_))));
     // And one that has its answer in that wake is served.
     let (attempt, _) = sent(&rig.ask("read", 2000.0));
     rig.now += 3000.0;
@@ -267,7 +278,7 @@
         let effects = rig.word(Word::Pool { whole: false, machines });
         assert!(
             has(&effects, &Effect::Stop { attempt })
-                && has(&effects, &Effect::Retire { member: name.into() })
+                && has(&effects, &Effect::Retire { machine: name.into() })
         );
         let (_, next) = sent(&effects);
         assert!(next.cache.as_str() != name && next.source.as_str() != name);
@@ -296,7 +307,7 @@
     let (attempt, _) = sent(&rig.ask("fragile", 200.0));
     let mut inbox = Inbox::default();
     rig.now += 190.0;
-    inbox.extend([Input::Due, Input::Progressed { attempt, progress: Progress::WrittenWhole }]);
+    inbox.extend([Input::TimersDue, Input::Progressed { attempt, progress: Progress::WrittenWhole }]);
     let effects: Vec<Effect> = std::iter::from_fn(|| inbox.pop()).flat_map(|input| rig.step(input)).collect();
     assert!(matches!(replies(&effects)[..], [Reply::Failed(_)]), "it may have run: {effects:?}");
 }
@@ -307,7 +318,7 @@
     let start = |rig: &mut Rig, since: Option<Millis>| {
         let machines = vec![listed("e1", "edge", "east", Phase::Serving, since)];
         let effects = rig.word(Word::Pool { whole: false, machines });
-        effects.iter().filter(|effect| matches!(effect, Effect::Reborn { .. })).count()
+        effects.iter().filter(|effect| matches!(effect, Effect::MachineRestarted { .. })).count()
     };
     let since = UNIX_MS + 1234.5;
     let counts = [None, Some(since), Some(since), Some(since + 9.0)].map(|since| start(&mut rig, since));
@@ -315,8 +326,8 @@
     // What a whole list doesn't hold is gone.
     let machines = vec![listed("e2", "edge", "east", Phase::Serving, None)];
     let effects = rig.word(Word::Pool { whole: true, machines });
-    assert!(has(&effects, &Effect::Retire { member: "e1".into() }));
-    assert!(!has(&effects, &Effect::Retire { member: "e2".into() }));
+    assert!(has(&effects, &Effect::Retire { machine: "e1".into() }));
+    assert!(!has(&effects, &Effect::Retire { machine: "e2".into() }));
 }
 
 #[test]
@@ -348,10 +359,12 @@
     let mut rig = Rig::new();
     let serve = |rig: &mut Rig, class: &str, conn: u64| {
         rig.serial += 1;
-        let client = Client { conn, serial: rig.serial };
+        let client = RequestKey { conn, serial: rig.serial };
         let id = format!("x{}", rig.serial);
-        let ask = Ask { id, class: class.into(), timeout_ms: 4000.0, ..Ask::default() };
-        let (attempt, _) = sent(&rig.step(Input::Asked { client, ask: Ok(ask), age_ms: 0.0 }));
+        let ask =
+            IncomingRequest { id, class: class.into(), timeout_ms: 4000.0, ..IncomingRequest::default() };
+        let (attempt, _) =
+            sent(&rig.step(Input::RequestReceived { key: client, request: Ok(ask), age_ms: 0.0 }));
         replies(&rig.answered(attempt, Outcome::Ok, 240_000, false)).remove(0)
     };
     // A fifth of 4 MB for one that doesn't read, and not a byte more.
@@ -378,12 +391,17 @@
     assert!(matches!(replies(&rig.ask("read", 9e5))[..], [Reply::Failed(_)]), "it would be held for ever");
     let (first, _) = sent(&rig.ask("read", 4000.0));
     rig.serial -= 1;
-    let again = Client { conn: 2, serial: 1 };
-    let ask = Ask { id: "c2".into(), class: "read".into(), timeout_ms: 4000.0, ..Ask::default() };
-    let effects = rig.step(Input::Asked { client: again, ask: Ok(ask.clone()), age_ms: 0.0 });
+    let again = RequestKey { conn: 2, serial: 1 };
+    let ask = IncomingRequest {
+        id: "c2".into(),
+        class: "read".into(),
+        timeout_ms: 4000.0,
+        ..IncomingRequest::default()
+    };
+    let effects = rig.step(Input::RequestReceived { key: again, request: Ok(ask.clone()), age_ms: 0.0 });
     assert!(matches!(replies(&effects)[..], [Reply::Failed(_)]), "{effects:?}");
     rig.answered(first, Outcome::Ok, 5, false);
-    sent(&rig.step(Input::Asked { client: again, ask: Ok(ask), age_ms: 0.0 }));
+    sent(&rig.step(Input::RequestReceived { key: again, request: Ok(ask), age_ms: 0.0 }));
 }
 
 #[test]
@@ -452,18 +470,18 @@
                 9 if !open.is_empty() => {
                     let serial = *open.keys().nth(chance(open.len() as u64) as usize).expect("one is open");
                     open.remove(&serial);
-                    rig.step(Input::Aborted { client: Client { conn: 1, serial } })
+                    rig.step(Input::Aborted { key: RequestKey { conn: 1, serial } })
                 }
                 _ => {
                     rig.now += chance(40) as f64;
-                    rig.step(Input::Due)
+                    rig.step(Input::TimersDue)
                 }
             };
             for effect in effects {
                 match effect {
                     Effect::Send { attempt, .. } => out.push(attempt),
                     Effect::Stop { attempt } => out.retain(|other| *other != attempt),
-                    Effect::Answer { client, .. } => {
+                    Effect::Answer { key: client, .. } => {
                         assert!(open.remove(&client.serial).is_some(), "seed {seed}: none is owed");
                     }
                     _ => {}
@@ -472,18 +490,18 @@
             assert!(open.values().all(|deadline| rig.now < *deadline + 15.0), "seed {seed}: overdue");
         }
         rig.wait(3500.0).iter().for_each(|effect| {
-            if let Effect::Answer { client, .. } = effect {
+            if let Effect::Answer { key: client, .. } = effect {
                 assert!(open.remove(&client.serial).is_some());
             }
         });
-        assert!(open.is_empty() && rig.reducer.open() == 0);
+        assert!(open.is_empty() && rig.reducer.open_requests() == 0);
     }
 }
 
 #[test]
 fn want_of_room_for_a_connection_is_not_held_against_a_machine() {
     // It was told as a failed connect, and two of these eject a machine.
-    let homes = |end: fn() -> End| {
+    let homes = |end: fn() -> AttemptEnd| {
         let mut rig = Rig::new();
         let mut home = || {
             let (key, fetch) = sent(&rig.ask("read", 4000.0));
@@ -494,8 +512,8 @@
         let first = home();
         (1..8).filter(|_| home() == first).count()
     };
-    assert!(homes(|| End::Lost(Progress::NotConnected)) < 7, "who can't be reached is left");
-    assert_eq!(homes(|| End::NoRoom), 7, "the home stays the home");
+    assert!(homes(|| AttemptEnd::Lost(Progress::NotConnected)) < 7, "who can't be reached is left");
+    assert_eq!(homes(|| AttemptEnd::NoRoom), 7, "the home stays the home");
 }
 
 #[test]
@@ -507,11 +525,11 @@
     // The loop stands still, so that no timer has pulled it.
     let later = rig.reducer.permit(rig.now + 100.0, attempt).expect("it may still begin").limit_ms;
     assert_eq!(later, at_once - 100.0);
-    assert_eq!(rig.reducer.permit(rig.now + 5000.0, attempt), Err(Withheld::TooLate));
-    rig.step(Input::Aborted { client: rig.client() });
-    assert_eq!(rig.reducer.permit(rig.now, attempt), Err(Withheld::Unknown));
+    assert_eq!(rig.reducer.permit(rig.now + 5000.0, attempt), Err(Withheld::SendWindowExpired));
+    rig.step(Input::Aborted { key: rig.client() });
+    assert_eq!(rig.reducer.permit(rig.now, attempt), Err(Withheld::UnknownAttempt));
     assert_eq!(rig.reducer.counters.reasons.withheld.total(), 2);
-    assert!(Withheld::Unknown.is_violation() && !Withheld::TooLate.is_violation());
+    assert!(Withheld::UnknownAttempt.is_violation() && !Withheld::SendWindowExpired.is_violation());
 }
 
 #[test]
@@ -525,10 +543,10 @@
         if written {
             rig.step(Input::Progressed { attempt, progress: Progress::WrittenWhole });
         }
-        let effects = rig.step(Input::Closing { conn: 1 });
+        let effects = rig.step(Input::ConnectionClosing { conn: 1 });
         let refused = matches!(replies(&effects)[..], [Reply::Refused { reason: Refusal::Draining, .. }]);
         let failed = matches!(replies(&effects)[..], [Reply::Failed(Failure::GivenUp(Refusal::Draining))]);
         assert_eq!((refused, failed), (harmless, !harmless), "{class}, written: {written}: {effects:?}");
-        assert!(has(&effects, &Effect::Stop { attempt }) && rig.reducer.open() == 0);
+        assert!(has(&effects, &Effect::Stop { attempt }) && rig.reducer.open_requests() == 0);
     }
 }
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -126,7 +126,7 @@
 struct Tried {
     request: u64,
     cell: u64,
-    leave_by: Millis,
+    send_by: Millis,
     written: Option<Millis>,
     /// Proved never to have run.
     unrun: bool,
@@ -163,7 +163,7 @@
         self.tried.values().filter(|tried| tried.request == request).cloned().collect()
     }
 
-    fn sent(&mut self, attempt: AttemptKey, client: u64, call: &Call) {
+    fn sent(&mut self, attempt: AttemptKey, client: u64, call: &OutgoingRequest) {
         let (fetch, now) = (&call.fetch, self.now);
         let Some(asked) = self.asked.get(&client) else {
             return self.hold("sent for a request that is over", false);
@@ -216,7 +216,7 @@
         };
         self.hold("effect", may);
         let tried =
-            Tried { request: client, cell, leave_by: call.leave_by, written: None, unrun: false, over: None };
+            Tried { request: client, cell, send_by: call.send_by, written: None, unrun: false, over: None };
         self.tried.insert(attempt, tried);
     }
 
@@ -275,13 +275,13 @@
     let list = ENDS.iter().map(|end| machine(end, Phase::Serving)).collect();
     check.phases.extend(ENDS.iter().map(|end| (end.0.to_owned(), Phase::Serving)));
     let word = Some(Word::Pool { whole: true, machines: list });
-    let mut inputs = vec![Input::Notice { notice: Notice { rev, word }, unix: UnixTime(UNIX_MS) }];
+    let mut inputs = vec![Input::DiscoveryEvent { notice: Notice { rev, word }, unix: UnixTime(UNIX_MS) }];
     for step in 0..STEPS {
         check.now = START_MS + step as f64 * STEP_MS;
         let unix = UnixTime(UNIX_MS + check.now - START_MS);
         let tells = |rev: &mut u64, word| {
             *rev += 1;
-            Input::Notice { notice: Notice { rev: *rev, word: Some(word) }, unix }
+            Input::DiscoveryEvent { notice: Notice { rev: *rev, word: Some(word) }, unix }
         };
         let out: Vec<AttemptKey> =
             check.tried.iter().filter(|(_, tried)| tried.over.is_none()).map(|(key, _)| *key).collect();
@@ -295,21 +295,24 @@
                 let (object, group) = (format!("o{}", chance(6)), chance(3));
                 let due = check.now + timeout_ms;
                 check.asked.insert(serial, Asked { class, group, object: object.clone(), due });
-                let ask = Ask {
+                let ask = IncomingRequest {
                     id: format!("{serial:016x}"),
                     class: settings.name.clone(),
                     timeout_ms,
                     object: Some(object),
                     group,
                     size_kb: (chance(2) == 0).then(|| 1.0 + chance(500) as f64),
-                    ..Ask::default()
+                    ..IncomingRequest::default()
                 };
-                let client = Client { conn: 1, serial };
-                inputs.push(Input::Asked { client, ask: Ok(ask), age_ms: 0.0 });
+                let client = RequestKey { conn: 1, serial };
+                inputs.push(Input::RequestReceived { key: client, request: Ok(ask), age_ms: 0.0 });
             }
             (5..=9, Some(attempt)) if check.tried[&attempt].written.is_none() => {
-                if check.tried[&attempt].leave_by < check.now {
-                    inputs.push(Input::Ended { attempt, end: End::Withheld(Withheld::TooLate) });
+                if check.tried[&attempt].send_by < check.now {
+                    inputs.push(Input::Ended {
+                        attempt,
+                        end: AttemptEnd::Withheld(Withheld::SendWindowExpired),
+                    });
                     check.tried.entry(attempt).and_modify(|tried| {
                         (tried.unrun, tried.over) = (true, Some(check.now));
                     });
@@ -337,7 +340,7 @@
                     source_wait_ms: None,
                     report,
                 };
-                inputs.push(Input::Ended { attempt, end: End::Answer(answer) });
+                inputs.push(Input::Ended { attempt, end: AttemptEnd::Answer(answer) });
             }
             (13, Some(attempt)) => {
                 let written = check.tried[&attempt].written.is_some();
@@ -345,12 +348,12 @@
                 check.tried.entry(attempt).and_modify(|tried| {
                     (tried.unrun, tried.over) = (!written, Some(check.now));
                 });
-                inputs.push(Input::Ended { attempt, end: End::Lost(progress) });
+                inputs.push(Input::Ended { attempt, end: AttemptEnd::Lost(progress) });
             }
             (14, _) if !check.asked.is_empty() => {
                 let serial = *check.asked.keys().nth(chance(check.asked.len() as u64) as usize).expect("one");
                 check.asked.remove(&serial);
-                inputs.push(Input::Aborted { client: Client { conn: 1, serial } });
+                inputs.push(Input::Aborted { key: RequestKey { conn: 1, serial } });
             }
             (15, _) => {
                 let end = &ENDS[chance(ENDS.len() as u64) as usize];
@@ -369,12 +372,12 @@
             }
             _ => {}
         }
-        inputs.push(Input::Due);
+        inputs.push(Input::TimersDue);
         for input in inputs.drain(..) {
             for effect in reducer.step(check.now, input) {
                 match effect {
-                    Effect::Send { attempt, call, .. } => {
-                        let client = u64::from_str_radix(&call.ask.id, 16).expect("ours");
+                    Effect::Send { attempt, request: call, .. } => {
+                        let client = u64::from_str_radix(&call.request.id, 16).expect("ours");
                         check.sent(attempt, client, &call);
                     }
                     Effect::Stop { attempt } => {
@@ -384,7 +387,7 @@
                             tried.over = tried.over.or(Some(now));
                         });
                     }
-                    Effect::Answer { client, reply } => check.answered(client.serial, &reply),
+                    Effect::Answer { key: client, reply } => check.answered(client.serial, &reply),
                     _ => {}
                 }
             }
