--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -16,7 +16,7 @@
 //! **Holds once faults end**: whoever is heard both ways by a majority, through any helper, has its standing and is alive at
 //! all others; whoever is dead is gone at all that have a majority.
 
-mod allowance;
+mod rate_limit;
 mod member;
 pub mod patience;
 pub mod rolls;
--- a/src/fleet/rolls/mod.rs
+++ b/src/fleet/rolls/mod.rs
@@ -31,7 +31,7 @@
 mod view;
 pub mod wire;
 
-use super::allowance::Allowance;
+use super::rate_limit::Allowance;
 use super::patience::Patience;
 use super::settings::Id;
 use super::{Counts, Effect, Refused, Says, Settings, State};
--- a/src/fleet/rows.rs
+++ b/src/fleet/rows.rs
@@ -12,7 +12,7 @@
 //! - *No word about or from an earlier start counts* (`Rows::accept`: starts only grow; `Heard::tag`).
 //! - *A term that has ended never comes back* (`Ledger::settle`).
 
-use super::allowance::Allowance;
+use super::rate_limit::Allowance;
 use super::member::{Member, Transit};
 use super::patience::{self, Patience};
 use super::settings::{Id, Settings};
--- a/src/fleet/rows/tests.rs
+++ b/src/fleet/rows/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::fleet::allowance::{AT_ONCE, PER_S};
+use crate::fleet::rate_limit::{AT_ONCE, PER_S};
 use crate::fleet::settings::ROWS_UPTO;
 use crate::fleet::PeerAt;
 use quickcheck::{Gen, QuickCheck};
