--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -18,7 +18,7 @@
 
 mod rate_limit;
 mod member;
-pub mod patience;
+pub mod local_health;
 pub mod rolls;
 pub mod rows;
 pub mod settings;
--- a/src/fleet/rolls/mod.rs
+++ b/src/fleet/rolls/mod.rs
@@ -32,7 +32,7 @@
 pub mod wire;
 
 use super::rate_limit::Allowance;
-use super::patience::Patience;
+use super::local_health::Patience;
 use super::settings::Id;
 use super::{Counts, Effect, Refused, Says, Settings, State};
 use crate::api::Millis;
--- a/src/fleet/rows.rs
+++ b/src/fleet/rows.rs
@@ -14,7 +14,7 @@
 
 use super::rate_limit::Allowance;
 use super::member::{Member, Transit};
-use super::patience::{self, Patience};
+use super::local_health::{self, Patience};
 use super::settings::{Id, Settings};
 use super::standing::{Answer, Ledger, BEAT_MS};
 use super::wire::{self, GivenUp, Heard, Packet, Refused, Row, Says};
@@ -350,7 +350,7 @@
         }
         let member = &self.members[at];
         let others = self.heard_of(at).filter(|(_, heard)| heard.suspect).count();
-        let suspicion = patience::suspicion(self.set.suspicion_ms, others) + self.set.more_ms();
+        let suspicion = local_health::suspicion(self.set.suspicion_ms, others) + self.set.more_ms();
         if silent < limit + suspicion {
             return;
         }
