--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -22,7 +22,7 @@
 pub mod rolls;
 pub mod rows;
 pub mod settings;
-pub mod standing;
+pub mod quorum;
 mod view;
 pub mod wire;
 
--- a/src/fleet/rows.rs
+++ b/src/fleet/rows.rs
@@ -16,7 +16,7 @@
 use super::member::{Member, Transit};
 use super::local_health::{self, Patience};
 use super::settings::{Id, Settings};
-use super::standing::{Answer, Ledger, BEAT_MS};
+use super::quorum::{Answer, Ledger, BEAT_MS};
 use super::wire::{self, GivenUp, Heard, Packet, Refused, Row, Says};
 use super::{Counts, Effect, State};
 use crate::api::Millis;
--- a/src/fleet/view.rs
+++ b/src/fleet/view.rs
@@ -105,7 +105,7 @@
         let (heard, fresh) = (self.hears(at, now), member.silent(now) < 2.0 * self.set.suspect_ms());
         let answer = self.ledger.answer(at).filter(|answer| {
             answer.direct
-                && now - self.born - f64::from(answer.beat) * super::standing::BEAT_MS < 2.0 * direct_ms
+                && now - self.born - f64::from(answer.beat) * super::quorum::BEAT_MS < 2.0 * direct_ms
         });
         match (member.row.is_some() && (fresh || heard), heard, answer.is_some()) {
             (false, ..) => Path::None,
