--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -3,7 +3,7 @@
 //! Owns what this router knows of the others, bounded by [`MAX_ROUTERS`]. It never opens a socket, never reads a clock, never
 //! touches a request: time comes in as an argument, datagrams and events go out as values.
 //!
-//! A fleet of up to [`ROWS_UPTO`](settings::ROWS_UPTO) routers passes on rows of who has heard whom ([`rows`]); a larger one calls
+//! A fleet of up to [`ROWS_UPTO`](settings::ROWS_UPTO) routers passes on rows of who has heard whom ([`observations`]); a larger one calls
 //! a roll twice a second ([`rolls`]). The sentences are the same, and each says by which lines it keeps them.
 //!
 //! **Holds at every instant**, whatever is lost, late, doubled, stalled, restarted or cut, while clocks run alike within
@@ -20,7 +20,7 @@
 mod member;
 pub mod local_health;
 pub mod rolls;
-pub mod rows;
+pub mod observations;
 pub mod settings;
 pub mod quorum;
 mod view;
@@ -33,7 +33,7 @@
 
 use crate::api::Millis;
 use rolls::Rolls;
-use rows::Rows;
+use observations::Rows;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
--- a/src/fleet/view.rs
+++ b/src/fleet/view.rs
@@ -1,7 +1,7 @@
 //! The picture that operators get.
 
 use super::member::Member;
-use super::rows::Rows;
+use super::observations::Rows;
 use super::wire::Says;
 use super::{Path, State};
 use crate::api::Millis;
