--- a/src/fleet/rolls/call/tests.rs
+++ b/src/fleet/epochs/call/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::fleet::rolls::wire::Life;
+use crate::fleet::epochs::wire::Life;
 
 fn book() -> Book {
     let mut book = Book::new(8, 0.0);
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -4,7 +4,7 @@
 //! touches a request: time comes in as an argument, datagrams and events go out as values.
 //!
 //! A fleet of up to [`ROWS_UPTO`](settings::ROWS_UPTO) routers passes on rows of who has heard whom ([`observations`]); a larger one calls
-//! a roll twice a second ([`rolls`]). The sentences are the same, and each says by which lines it keeps them.
+//! a roll twice a second ([`epochs`]). The sentences are the same, and each says by which lines it keeps them.
 //!
 //! **Holds at every instant**, whatever is lost, late, doubled, stalled, restarted or cut, while clocks run alike within
 //! [`DRIFT`](settings::DRIFT):
@@ -19,7 +19,7 @@
 mod rate_limit;
 mod member;
 pub mod local_health;
-pub mod rolls;
+pub mod epochs;
 pub mod observations;
 pub mod settings;
 pub mod quorum;
@@ -32,7 +32,7 @@
 pub use wire::{Refused, Says};
 
 use crate::api::Millis;
-use rolls::Rolls;
+use epochs::Rolls;
 use observations::Rows;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
--- a/src/fleet/settings.rs
+++ b/src/fleet/settings.rs
@@ -86,7 +86,7 @@
         Ok(())
     }
 
-    /// Whether the fleet is large: see [`rolls`](super::rolls).
+    /// Whether the fleet is large: see [`epochs`](super::epochs).
     pub fn calls_rolls(&self) -> bool {
         self.routers() >= self.rolls_from
     }
--- a/tests/fleet_model.rs
+++ b/tests/fleet_model.rs
@@ -5,8 +5,8 @@
 //! their way, so that they are those of a router without it. That words about an earlier start don't count takes more faults
 //! than a schedule has here; `fleet`'s own tests show that one.
 
-use frostturn::fleet::rolls;
-use frostturn::fleet::rolls::wire::Kind;
+use frostturn::fleet::epochs;
+use frostturn::fleet::epochs::wire::Kind;
 use frostturn::fleet::settings::DRIFT;
 use frostturn::fleet::wire;
 use frostturn::fleet::{Effect, Fleet, PeerAt, Says, Settings, State};
@@ -173,7 +173,7 @@
             return bytes.to_vec();
         }
         if self.rolls {
-            let Ok(mut packet) = rolls::wire::read("model", bytes) else { return bytes.to_vec() };
+            let Ok(mut packet) = epochs::wire::read("model", bytes) else { return bytes.to_vec() };
             for roll in packet.rolls.iter_mut().filter(|roll| roll.kind == Kind::Heard) {
                 match self.flaw {
                     // Names count for later words than they were given for.
@@ -183,7 +183,7 @@
                     _ => {}
                 }
             }
-            return rolls::wire::write("model", &packet);
+            return epochs::wire::write("model", &packet);
         }
         let Ok(mut packet) = wire::read("model", bytes) else { return bytes.to_vec() };
         let id = packet.to;
