--- a/src/fleet/epochs/call.rs
+++ b/src/fleet/epochs/call.rs
@@ -3,7 +3,7 @@
 //! A roll of kind [`Heard`](Kind::Heard) binds whoever signs it: it has heard words of all in it, of these lives, from the
 //! roll's epoch or later. One of kind [`GivenUp`](Kind::GivenUp) binds for good: who signs it answers none of these lives again.
 
-use super::book::Book;
+use super::incarnations::Book;
 use super::set::Form;
 use super::wire::{self, Kind, Mark, Told};
 use fixedbitset::FixedBitSet;
--- a/src/fleet/epochs/mod.rs
+++ b/src/fleet/epochs/mod.rs
@@ -23,7 +23,7 @@
 //!   over only where both know the same starts ([`Book::compare`]).
 //! - *A term that has ended never comes back* ([`Own::settle`]).
 
-pub mod book;
+pub mod incarnations;
 pub mod call;
 pub mod own;
 pub mod pace;
@@ -36,7 +36,7 @@
 use super::settings::Id;
 use super::{Counts, Effect, Refused, Says, Settings, State};
 use crate::api::Millis;
-use book::{Book, Learned};
+use incarnations::{Book, Learned};
 use call::{Calls, Key, KEPT};
 use fixedbitset::FixedBitSet;
 use own::Own;
@@ -306,7 +306,7 @@
             let Some(ago) = Lags::epochs(*step) else { continue };
             if of != self.me && of != from {
                 let epoch = packet.epoch.saturating_sub(ago);
-                news |= !self.stale(epoch, now) && self.hear(of, epoch, same[of / book::BLOCK], now);
+                news |= !self.stale(epoch, now) && self.hear(of, epoch, same[of / incarnations::BLOCK], now);
             }
         }
         news |= !self.stale(packet.epoch, now) && self.hear(from, packet.epoch, true, now);
