--- a/src/fleet/epochs/mod.rs
+++ b/src/fleet/epochs/mod.rs
@@ -13,7 +13,7 @@
 //! - *Who is called gone knew before that it was cut off.* (1) A router has its standing by a roll that a majority has signed,
 //!   for `lease_ms` from when it entered the roll's epoch ([`Own::signed`]). (2) Whoever signs a roll has heard that all in it
 //!   were in that epoch, so its silence of each began later (`Rolls::hear_roll`); it gives a life up after at least `refuse_ms`
-//!   of it (`Rolls::judge`), and never again vouches for that life ([`call::may_sign`]; whom a name leaves out travels with
+//!   of it (`Rolls::judge`), and never again vouches for that life ([`ballots::may_sign`]; whom a name leaves out travels with
 //!   it). (3) A life is called gone when so many have signed that they gave it up that the rest is no majority
 //!   (`Rolls::verdict`), or when somebody tells that ([`Mark::Gone`]). (4) `lease_ms` is shorter than `refuse_ms` by more than
 //!   clocks differ: every majority of (1) has one of (3), who signed before its silence began, so that the lease is over when
@@ -24,7 +24,7 @@
 //! - *A term that has ended never comes back* ([`Own::settle`]).
 
 pub mod incarnations;
-pub mod call;
+pub mod ballots;
 pub mod own;
 pub mod pace;
 pub mod set;
@@ -37,7 +37,7 @@
 use super::{Counts, Effect, Refused, Says, Settings, State};
 use crate::api::Millis;
 use incarnations::{Book, Learned};
-use call::{Calls, Key, KEPT};
+use ballots::{Calls, Key, KEPT};
 use fixedbitset::FixedBitSet;
 use own::Own;
 use pace::Roles;
@@ -490,7 +490,7 @@
             // Whom it is about to give up it waits for.
             let soon = |of: usize| !gave_up.contains(of) && self.soon(of, f64::from(WAITS), now);
             let waits = self.epoch < key.1 + WAITS && roll.set.ones().any(soon);
-            if let Some(without) = call::may_sign(&key, roll, &self.book, &gave_up, waits) {
+            if let Some(without) = ballots::may_sign(&key, roll, &self.book, &gave_up, waits) {
                 self.hear_roll(key, &without, now);
                 self.calls.sign(&key, self.me, &without);
             }
@@ -719,7 +719,7 @@
         // Where words are slow an earlier epoch has more of them: the latest that lacks few.
         let sets: Vec<FixedBitSet> = (0..4)
             .map(|ago| {
-                let mut set = call::heard_since(self.epoch.saturating_sub(ago), &heard, &self.book);
+                let mut set = ballots::heard_since(self.epoch.saturating_sub(ago), &heard, &self.book);
                 (0..self.peers.len()).filter(|of| without(*of)).for_each(|of| set.set(of, false));
                 set
             })
--- a/src/fleet/epochs/own.rs
+++ b/src/fleet/epochs/own.rs
@@ -10,7 +10,7 @@
 use std::collections::VecDeque;
 
 /// Epochs whose beginnings are remembered: more than a roll is kept.
-const REMEMBERED: usize = 2 * super::call::KEPT as usize;
+const REMEMBERED: usize = 2 * super::ballots::KEPT as usize;
 
 /// One router's own standing.
 #[derive(Clone, Debug)]
--- a/src/fleet/epochs/pace.rs
+++ b/src/fleet/epochs/pace.rs
@@ -4,7 +4,7 @@
 //! router tells what it knows to two of the epoch's *hubs*, these tell the clerks, and after a period a clerk begins the next
 //! epoch: its word goes on by whoever hears it first, to a few others each, so that it has reached nearly all after some links.
 
-use super::call::rank;
+use super::ballots::rank;
 use crate::api::Millis;
 
 /// Clerks in an epoch.
--- a/src/fleet/epochs/wire.rs
+++ b/src/fleet/epochs/wire.rs
@@ -1,6 +1,6 @@
 //! What routers of a large fleet send each other: one kind of datagram, whoever sends it to whom and when.
 
-use super::call::Terms;
+use super::ballots::Terms;
 use super::set::{Form, Lags};
 use crate::fleet::wire::{open, seal, Refused, HEAD, MAX_DATAGRAM, ROLLS};
 use serde::{Deserialize, Serialize};
