--- a/src/fleet/epochs/mod.rs
+++ b/src/fleet/epochs/mod.rs
@@ -25,7 +25,7 @@
 
 pub mod incarnations;
 pub mod ballots;
-pub mod own;
+pub mod quorum;
 pub mod pace;
 pub mod set;
 mod view;
@@ -39,7 +39,7 @@
 use incarnations::{Book, Learned};
 use ballots::{Calls, Key, KEPT};
 use fixedbitset::FixedBitSet;
-use own::Own;
+use quorum::Own;
 use pace::Roles;
 use set::Lags;
 use std::collections::VecDeque;
