--- a/src/fleet/epochs/mod.rs
+++ b/src/fleet/epochs/mod.rs
@@ -5,7 +5,7 @@
 //!
 //! Time is cut into *epochs*, which the whole fleet enters together as far as it can: whoever hears of a later one enters it.
 //! Each router tells the epoch it is in, and for everybody else the latest one that it knows of, two bits a router. At
-//! an epoch's end a clerk ([`pace`]) calls a roll of all that have been heard of since an epoch; it travels, and everybody
+//! an epoch's end a clerk ([`schedule`]) calls a roll of all that have been heard of since an epoch; it travels, and everybody
 //! whom it reaches has then heard of all in it, and signs it.
 //!
 //! The sentences of [`super`] are kept here by:
@@ -26,7 +26,7 @@
 pub mod incarnations;
 pub mod ballots;
 pub mod quorum;
-pub mod pace;
+pub mod schedule;
 pub mod set;
 mod view;
 pub mod wire;
@@ -40,7 +40,7 @@
 use ballots::{Calls, Key, KEPT};
 use fixedbitset::FixedBitSet;
 use quorum::Own;
-use pace::Roles;
+use schedule::Roles;
 use set::Lags;
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -761,7 +761,7 @@
         self.calls.entered(epoch);
         let (me, peers) = (self.me, &self.peers);
         let may = |of: usize| of == me || matches!(peers[of].state, State::Alive | State::Joining);
-        self.roles = pace::roles(epoch, peers.len(), may);
+        self.roles = schedule::roles(epoch, peers.len(), may);
         let period = self.set.period_ms;
         self.hub_at = self.roles.gathered(me, period).map(|wait| now + wait);
         let part = self.part();
@@ -775,16 +775,16 @@
         if let Some(of) = up.first() {
             self.send(*of, now, None);
         }
-        let kept = if self.hub_at.is_some() { pace::CLERKS } else { 0 };
-        let count = pace::ON.min(self.allowance.left().saturating_sub(kept));
-        for to in pace::on(epoch, me, self.peers.len()).take(count) {
+        let kept = if self.hub_at.is_some() { schedule::CLERKS } else { 0 };
+        let count = schedule::ON.min(self.allowance.left().saturating_sub(kept));
+        for to in schedule::on(epoch, me, self.peers.len()).take(count) {
             let there = to != me && self.peers[to].state == State::Alive;
             if let Some(of) = if there { Some(to) } else { self.anybody() } {
                 self.send(of, now, None);
             }
         }
         // What comes meanwhile goes on with these, so that it need not wait for the next epoch.
-        let later = pace::LATER.map(|part| now + part * period);
+        let later = schedule::LATER.map(|part| now + part * period);
         self.later = [(later[0], up.get(1).copied()), (later[1], None)].into();
     }
 
