--- a/src/fleet/epochs/ballots.rs
+++ b/src/fleet/epochs/ballots.rs
@@ -4,7 +4,7 @@
 //! roll's epoch or later. One of kind [`GivenUp`](Kind::GivenUp) binds for good: who signs it answers none of these lives again.
 
 use super::incarnations::Book;
-use super::set::Form;
+use super::encoding::Form;
 use super::wire::{self, Kind, Mark, Told};
 use fixedbitset::FixedBitSet;
 use serde::{Deserialize, Serialize};
--- a/src/fleet/epochs/mod.rs
+++ b/src/fleet/epochs/mod.rs
@@ -27,7 +27,7 @@
 pub mod ballots;
 pub mod quorum;
 pub mod schedule;
-pub mod set;
+pub mod encoding;
 mod view;
 pub mod wire;
 
@@ -41,7 +41,7 @@
 use fixedbitset::FixedBitSet;
 use quorum::Own;
 use schedule::Roles;
-use set::Lags;
+use encoding::Lags;
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 use twox_hash::XxHash64;
@@ -843,7 +843,7 @@
         let lag = |at: usize| match self.peers[at].epoch {
             _ if at == self.me => 0,
             Some(known) => Lags::step(self.epoch.saturating_sub(known)),
-            None => set::LONG,
+            None => encoding::LONG,
         };
         let steps: Vec<u8> = (0..self.peers.len()).map(lag).collect();
         let mut packet = Packet {
--- a/src/fleet/epochs/wire.rs
+++ b/src/fleet/epochs/wire.rs
@@ -1,7 +1,7 @@
 //! What routers of a large fleet send each other: one kind of datagram, whoever sends it to whom and when.
 
 use super::ballots::Terms;
-use super::set::{Form, Lags};
+use super::encoding::{Form, Lags};
 use crate::fleet::wire::{open, seal, Refused, HEAD, MAX_DATAGRAM, ROLLS};
 use serde::{Deserialize, Serialize};
 
