--- a/crates/frostturn-lab/src/fleet/audit.rs
+++ b/crates/frostturn-lab/src/fleet/audit.rs
@@ -1,7 +1,7 @@
 //! What real routers said, from the lines that they log: by a clock that all processes of a machine share.
 
 use super::check::{Said, Word};
-use frostturn::fleet::{Says, State};
+use frostturn::fleet::{QuorumStatus, State};
 
 /// Milliseconds of the clock that the daemon's lines name.
 pub fn boot_ms() -> f64 {
@@ -31,9 +31,9 @@
 fn standing(line: &str) -> Option<(f64, Word)> {
     let (word, _) = line.split_once(" in term ")?;
     let says = match word {
-        "majority" => Says::Majority,
-        "cut-off" => Says::CutOff,
-        "joining" => Says::Joining,
+        "majority" => QuorumStatus::Majority,
+        "cut-off" => QuorumStatus::CutOff,
+        "joining" => QuorumStatus::Joining,
         _ => return None,
     };
     let term = between(line, " in term ", " since")?.parse().ok()?;
--- a/crates/frostturn-lab/src/fleet/audit/tests.rs
+++ b/crates/frostturn-lab/src/fleet/audit/tests.rs
@@ -7,7 +7,7 @@
         frostturn: fleet: n11 is gone at 99.5 (start 1800000000007, term 3): 7 of 12 have given it up\n\
         frostturn: fleet: this process stood still for 500 ms until 7\n";
     let (said, number) = read(log, 4, 1);
-    let standing = Word::Standing { says: Says::Majority, term: 2, since: 1234.5 };
+    let standing = Word::Standing { says: QuorumStatus::Majority, term: 2, since: 1234.5 };
     let gone = Word::Of { other: 11, start: 1_800_000_000_007, term: 3, state: State::Gone };
     assert_eq!(number, 1_800_000_000_123);
     let words: Vec<(f64, Word)> = said.into_iter().map(|one| (one.at, one.word)).collect();
--- a/crates/frostturn-lab/src/fleet/check.rs
+++ b/crates/frostturn-lab/src/fleet/check.rs
@@ -4,14 +4,14 @@
 
 use super::schedule::{Cut, Millis, What};
 use crate::report::Bound;
-use frostturn::fleet::{Says, State};
+use frostturn::fleet::{QuorumStatus, State};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// What a router said.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Word {
     /// Of itself, in force since then.
-    Standing { says: Says, term: u32, since: Millis },
+    Standing { says: QuorumStatus, term: u32, since: Millis },
     /// Of another one, by number, and which start and term of it.
     Of { other: usize, start: u64, term: u32, state: State },
 }
@@ -266,7 +266,7 @@
 }
 
 /// Each router's standing over time, by its starts.
-type Standings = BTreeMap<(usize, usize), Vec<(Millis, Says, u32)>>;
+type Standings = BTreeMap<(usize, usize), Vec<(Millis, QuorumStatus, u32)>>;
 
 fn standings(said: &[Said]) -> Standings {
     let mut all = Standings::new();
@@ -294,7 +294,7 @@
         let Some(known) = standings.get(&(other, life)) else { continue };
         // What held then, by its own words, which one that stood still says when it wakes.
         let Some((_, says, now)) = known.iter().rev().find(|(since, ..)| *since <= one.at) else { continue };
-        if *says == Says::Majority && *now <= term {
+        if *says == QuorumStatus::Majority && *now <= term {
             figures.knows_first += 1;
             let (by, at) = (one.by, one.at);
             figures.note(format!(
@@ -374,7 +374,7 @@
             without.clear();
             for s in about.get(&one).into_iter().flatten().filter(|s| s.at <= heal + window) {
                 match s.word {
-                    Word::Standing { says, .. } if s.by == one => stands = says == Says::Majority,
+                    Word::Standing { says, .. } if s.by == one => stands = says == QuorumStatus::Majority,
                     Word::Of { other, state, .. } if other == one && watched.contains(&s.by) => {
                         match state {
                             State::Alive => without.remove(&s.by),
--- a/crates/frostturn-lab/src/fleet/check/tests.rs
+++ b/crates/frostturn-lab/src/fleet/check/tests.rs
@@ -15,7 +15,7 @@
     Said { at, by, start: 0, word: Word::Of { other, start: other as u64, term: 2, state } }
 }
 
-fn stands(at: Millis, by: usize, says: Says, since: Millis) -> Said {
+fn stands(at: Millis, by: usize, says: QuorumStatus, since: Millis) -> Said {
     Said { at, by, start: 0, word: Word::Standing { says, term: 2, since } }
 }
 
@@ -23,7 +23,7 @@
 fn calm() -> Vec<Said> {
     let mut said = Vec::new();
     for by in 0..3 {
-        said.push(stands(100.0, by, Says::Majority, 100.0));
+        said.push(stands(100.0, by, QuorumStatus::Majority, 100.0));
         said.extend((0..3).filter(|other| *other != by).map(|other| of(100.0, by, other, State::Alive)));
     }
     said
@@ -50,12 +50,15 @@
         (20_000.0, What::Links(Vec::new(), Link::default())),
     ];
     let gone = of(11_000.0, 0, 1, State::Gone);
-    let knew = stands(9500.0, 1, Says::CutOff, 9400.0);
+    let knew = stands(9500.0, 1, QuorumStatus::CutOff, 9400.0);
     assert_eq!(judged(&cut, &[gone.clone(), knew.clone()]).knows_first, 0);
-    assert_eq!(judged(&cut, &[gone.clone(), stands(12_000.0, 1, Says::CutOff, 11_500.0)]).knows_first, 1);
+    assert_eq!(
+        judged(&cut, &[gone.clone(), stands(12_000.0, 1, QuorumStatus::CutOff, 11_500.0)]).knows_first,
+        1
+    );
     assert_eq!(judged(&cut, &[gone.clone(), knew]).false_gone, 0);
     let stop = [(5000.0, What::Stop(vec![1])), (15_000.0, What::Resume(vec![1]))];
-    let wakes = stands(15_001.0, 1, Says::CutOff, 9400.0);
+    let wakes = stands(15_001.0, 1, QuorumStatus::CutOff, 9400.0);
     assert_eq!(judged(&stop, &[gone.clone(), wakes]).knows_first, 0);
     assert_eq!(judged(&stop, &[gone]).knows_first, 1, "it woke and took itself for standing");
 }
@@ -70,8 +73,8 @@
         (5000.0, What::Links(vec![Cut::Apart(vec![1])], Link::default())),
         (20_000.0, What::Links(Vec::new(), Link::default())),
     ];
-    let away = [stands(9500.0, 1, Says::CutOff, 9400.0), of(8000.0, 0, 1, State::Suspect)];
-    let back = |at: Millis| [stands(at, 1, Says::Majority, at), of(at, 0, 1, State::Alive)];
+    let away = [stands(9500.0, 1, QuorumStatus::CutOff, 9400.0), of(8000.0, 0, 1, State::Suspect)];
+    let back = |at: Millis| [stands(at, 1, QuorumStatus::Majority, at), of(at, 0, 1, State::Alive)];
     let figures = judged(&cut, &[&away[..], &back(21_000.0)].concat());
     assert_eq!((&figures.rejoin_ms[..], figures.views_differ_ms), (&[1000.0][..], Some(1000.0)));
     assert_eq!(judged(&cut, &[&away[..], &back(24_000.0)].concat()).rejoin_ms, [99_999.0]);
--- a/crates/frostturn-lab/src/fleet/sim.rs
+++ b/crates/frostturn-lab/src/fleet/sim.rs
@@ -3,8 +3,8 @@
 use super::check::{Said, Word};
 use super::schedule::{Cut, Millis, Schedule, What};
 use crate::relay::Link;
-use frostturn::fleet::settings::DRIFT;
-use frostturn::fleet::{Effect, Fleet, PeerAt, Settings};
+use frostturn::fleet::settings::MAX_CLOCK_DRIFT;
+use frostturn::fleet::{Effect, Fleet, PeerAddress, Settings};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use std::cmp::Reverse;
@@ -118,7 +118,7 @@
                 starts: Vec::new(),
                 born: 0.0,
                 offset: rng.random_range(0.0..1e9),
-                rate: 1.0 + rng.random_range(-DRIFT / 2.0..DRIFT / 2.0),
+                rate: 1.0 + rng.random_range(-MAX_CLOCK_DRIFT / 2.0..MAX_CLOCK_DRIFT / 2.0),
                 stopped: false,
                 late_ms: 0.0,
                 waiting: VecDeque::new(),
@@ -160,7 +160,7 @@
         let mut set = Settings::new("sim", listen(at));
         let others = (0..self.nodes.len()).filter(|other| *other != at);
         set.peers =
-            others.map(|other| PeerAt { name: format!("n{other}"), address: listen(other) }).collect();
+            others.map(|other| PeerAddress { name: format!("n{other}"), address: listen(other) }).collect();
         let clock = self.clock(at);
         // As long in a datagram as one of these years.
         let (name, start) = (format!("n{at}"), FIRST_START + self.now as u64);
@@ -176,7 +176,7 @@
         let node = &mut self.nodes[at];
         let Some(fleet) = &node.fleet else { return };
         node.serial += 1;
-        let due = (fleet.next_due() - node.offset) / node.rate + node.late_ms;
+        let due = (fleet.next_deadline() - node.offset) / node.rate + node.late_ms;
         let (due, serial) = (due + self.rng.random::<f64>() * LOOP_MS, node.serial);
         self.at(due, Event::Turn(at, serial));
     }
@@ -208,11 +208,11 @@
         // What waited is read before anybody is judged.
         while let Some(bytes) = self.nodes[at].waiting.pop_front() {
             if let Some(fleet) = &mut self.nodes[at].fleet {
-                let _ = fleet.heard(clock, &bytes);
+                let _ = fleet.receive(clock, &bytes);
             }
         }
         if let Some(fleet) = &mut self.nodes[at].fleet {
-            fleet.turn(clock);
+            fleet.tick(clock);
         }
         self.effects(at);
         self.next_turn(at);
@@ -228,13 +228,13 @@
             }
             return;
         }
-        let _ = fleet.heard(clock, &bytes);
+        let _ = fleet.receive(clock, &bytes);
         self.effects(at);
     }
 
     fn effects(&mut self, at: usize) {
         let Some(fleet) = &mut self.nodes[at].fleet else { return };
-        let effects = fleet.effects();
+        let effects = fleet.take_effects();
         let start = self.nodes[at].starts.len() - 1;
         for effect in effects {
             let word = match effect {
@@ -242,14 +242,14 @@
                     self.send(at, number(to), bytes.into());
                     continue;
                 }
-                Effect::Standing { says, term, ago_ms, .. } => {
+                Effect::QuorumChanged { status: says, term, ago_ms, .. } => {
                     Word::Standing { says, term, since: self.now - ago_ms / self.nodes[at].rate }
                 }
-                Effect::Changed { name, start, term, states: (_, state), .. } => {
+                Effect::MemberChanged { name, start, term, states: (_, state), .. } => {
                     let other = name[1..].parse().unwrap_or(usize::MAX);
                     Word::Of { other, start, term, state }
                 }
-                Effect::Stalled(_) | Effect::Renamed(_) => continue,
+                Effect::Stalled(_) | Effect::StartRaised(_) => continue,
             };
             self.said.push(Said { at: self.now, by: at, start, word });
         }
--- a/crates/frostturn-lab/src/scenarios/fleet_cost.rs
+++ b/crates/frostturn-lab/src/scenarios/fleet_cost.rs
@@ -6,7 +6,7 @@
 use crate::fleet::audit::boot_ms;
 use crate::report::{Bound, Report};
 use crate::site::Site;
-use frostturn::fleet::{Effect, Fleet, PeerAt, Settings};
+use frostturn::fleet::{Effect, Fleet, PeerAddress, Settings};
 use std::fmt::Write;
 use std::net::{SocketAddr, UdpSocket};
 use std::thread;
@@ -27,12 +27,12 @@
 impl Peer {
     fn play(&mut self, buffer: &mut [u8]) {
         while let Ok(bytes) = self.socket.recv(buffer) {
-            let _ = self.fleet.heard(boot_ms(), &buffer[..bytes]); // What is refused is counted there.
+            let _ = self.fleet.receive(boot_ms(), &buffer[..bytes]); // What is refused is counted there.
         }
-        if self.fleet.next_due() <= boot_ms() {
-            self.fleet.turn(boot_ms());
+        if self.fleet.next_deadline() <= boot_ms() {
+            self.fleet.tick(boot_ms());
         }
-        for effect in self.fleet.effects() {
+        for effect in self.fleet.take_effects() {
             if let Effect::Send { to, bytes } = effect {
                 let _ = self.socket.send_to(&bytes, to); // A full buffer loses it, as a net would.
             }
@@ -58,7 +58,7 @@
     for (one, socket) in (1..).zip(sockets) {
         let mut set = Settings::new("lab", at[one]);
         let rest = at.iter().enumerate().filter(|(other, _)| *other != one);
-        set.peers = rest.map(|(other, at)| PeerAt { name: format!("n{other}"), address: *at }).collect();
+        set.peers = rest.map(|(other, at)| PeerAddress { name: format!("n{other}"), address: *at }).collect();
         let fleet = Fleet::new(set, &format!("n{one}"), 1_800_000_000_000, boot_ms(), seed + one as u64)?;
         peers.push(Peer { fleet, socket });
     }
@@ -102,7 +102,7 @@
     play(began + FORMS_MS + MEASURED_MS);
     let after = [with.used(), without.used()];
     let cpu = [0, 1].map(|at| (after[at].0 - before[at]) / (MEASURED_MS / 1e3));
-    let alive = peers[0].fleet.tally()[1].1;
+    let alive = peers[0].fleet.count_by_state()[1].1;
     let mb = after.map(|(_, kb)| kb as f64 / 1e3);
     println!(
         "  CPU, ms a second: {:.1} with the fleet, {:.1} without; memory at most, MB: {:.1} and {:.1}",
--- a/crates/frostturn-lab/tests/fleet.rs
+++ b/crates/frostturn-lab/tests/fleet.rs
@@ -1,7 +1,7 @@
 //! Real processes of the program that know each other, and faults between them. Each test waits for states, never for times,
 //! and asserts orders, never how long something took.
 
-use frostturn::fleet::{Path, Says, State};
+use frostturn::fleet::{QuorumStatus, Reachability, State};
 use frostturn_lab::fleet::audit;
 use frostturn_lab::fleet::check::{Said, Word};
 use frostturn_lab::relay::Link;
@@ -51,12 +51,12 @@
 /// When one's standing first ended, by what it said of that.
 fn first_cut_off(rig: &Rig, one: usize) -> Option<f64> {
     words(rig, one).iter().find_map(|said| match said.word {
-        Word::Standing { says: Says::CutOff, since, .. } => Some(since),
+        Word::Standing { says: QuorumStatus::CutOff, since, .. } => Some(since),
         _ => None,
     })
 }
 
-fn path(rig: &Rig, at: usize, of: usize) -> Option<Path> {
+fn path(rig: &Rig, at: usize, of: usize) -> Option<Reachability> {
     rig.view(at)?.members.iter().find(|member| member.name == rig.slots[of].name).map(|member| member.path)
 }
 
@@ -134,12 +134,13 @@
         first_cut_off(&rig, 2),
         first_gone(&rig, 2)
     );
-    rig.until("it hears them, one way", |rig| path(rig, 2, 0) == Some(Path::OneWay)).unwrap();
+    rig.until("it hears them, one way", |rig| path(rig, 2, 0) == Some(Reachability::OneWay)).unwrap();
     rig.links(Link::default(), |_, _| true);
     whole(&rig, &all(&rig));
     rig.links(CUT, |_, to| to == 4);
     rig.until("it is cut off, and heard", |rig| {
-        rig.stands(4, "cut-off") && [0, 1, 2, 3].iter().all(|at| path(rig, *at, 4) == Some(Path::OneWay))
+        rig.stands(4, "cut-off")
+            && [0, 1, 2, 3].iter().all(|at| path(rig, *at, 4) == Some(Reachability::OneWay))
     })
     .unwrap();
     assert!([0, 1, 2, 3].iter().all(|at| rig.sees(*at, &[4], Alive) && rig.stands(*at, "majority")));
@@ -153,13 +154,13 @@
     let rig = rig(5, "");
     rig.links(CUT, |from, to| (from, to) == (0, 1));
     rig.until("the pair sees that it is one-sided", |rig| {
-        path(rig, 0, 1) == Some(Path::OneWay) && path(rig, 1, 0) == Some(Path::OneWay)
+        path(rig, 0, 1) == Some(Reachability::OneWay) && path(rig, 1, 0) == Some(Reachability::OneWay)
     })
     .unwrap();
     rig.links(Link::default(), |_, _| true);
     rig.links(CUT, |from, to| from.abs_diff(to) > 1);
     rig.until("the ends hear each other through others", |rig| {
-        path(rig, 0, 4) == Some(Path::Relayed) && path(rig, 4, 0) == Some(Path::Relayed)
+        path(rig, 0, 4) == Some(Reachability::Relayed) && path(rig, 4, 0) == Some(Reachability::Relayed)
     })
     .unwrap();
     whole(&rig, &all(&rig));
--- a/src/cli_ctl.rs
+++ b/src/cli_ctl.rs
@@ -102,7 +102,7 @@
     let mut rows = vec![["router", "state", "path", "for", "why"].map(str::to_owned)];
     for one in view.members {
         let since = format!("{:.1} s", one.since_ms as f64 / 1e3);
-        rows.push([one.name, one.state.word().to_owned(), one.path.word().to_owned(), since, one.why]);
+        rows.push([one.name, one.state.as_str().to_owned(), one.path.as_str().to_owned(), since, one.why]);
     }
     let width = |column: usize| rows.iter().map(|row| row[column].chars().count()).max().unwrap_or(0);
     let widths = [width(0), width(1), width(2), width(3)];
--- a/src/fleet/epochs/ballots.rs
+++ b/src/fleet/epochs/ballots.rs
@@ -3,8 +3,8 @@
 //! A roll of kind [`Heard`](Kind::Heard) binds whoever signs it: it has heard words of all in it, of these lives, from the
 //! roll's epoch or later. One of kind [`GivenUp`](Kind::GivenUp) binds for good: who signs it answers none of these lives again.
 
-use super::incarnations::Book;
 use super::encoding::Form;
+use super::incarnations::Book;
 use super::wire::{self, Kind, Mark, Told};
 use fixedbitset::FixedBitSet;
 use serde::{Deserialize, Serialize};
--- a/src/fleet/epochs/mod.rs
+++ b/src/fleet/epochs/mod.rs
@@ -23,25 +23,25 @@
 //!   over only where both know the same starts ([`Book::compare`]).
 //! - *A term that has ended never comes back* ([`Own::settle`]).
 
-pub mod incarnations;
 pub mod ballots;
+pub mod encoding;
+pub mod incarnations;
 pub mod quorum;
 pub mod schedule;
-pub mod encoding;
 mod view;
 pub mod wire;
 
-use super::rate_limit::Allowance;
 use super::local_health::Patience;
-use super::settings::Id;
-use super::{Counts, Effect, Refused, Says, Settings, State};
+use super::rate_limit::Allowance;
+use super::settings::RouterId;
+use super::{Counts, Effect, QuorumStatus, RejectReason, Settings, State};
 use crate::api::Millis;
-use incarnations::{Book, Learned};
 use ballots::{Calls, Key, KEPT};
+use encoding::Lags;
 use fixedbitset::FixedBitSet;
+use incarnations::{Book, Learned};
 use quorum::Own;
 use schedule::Roles;
-use encoding::Lags;
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 use twox_hash::XxHash64;
@@ -124,7 +124,7 @@
     calls: Calls,
     own: Own,
     /// What was last told of its standing.
-    says: (Says, u32),
+    says: (QuorumStatus, u32),
     patience: Patience,
     epoch: u32,
     /// How late news are, usually: as [`Peer::late`], of all.
@@ -180,9 +180,9 @@
         let mut peers: Vec<Peer> = set.peers.iter().map(|at| peer(&at.name, at.address)).collect();
         peers.push(peer(name, set.listen));
         // By their ids: the same order at all, whatever the files' order.
-        peers.sort_by_key(|peer| Id::of(&peer.name));
+        peers.sort_by_key(|peer| RouterId::of(&peer.name));
         let me = peers.iter().position(|peer| peer.name == name).unwrap_or_default();
-        let ids: Vec<u8> = peers.iter().flat_map(|peer| Id::of(&peer.name).0).collect();
+        let ids: Vec<u8> = peers.iter().flat_map(|peer| RouterId::of(&peer.name).0).collect();
         let count = peers.len();
         let mut rolls = Self {
             me,
@@ -192,7 +192,7 @@
             book: Book::new(count, now),
             calls: Calls::default(),
             own: Own::new(set.lease_ms(), now),
-            says: (Says::Joining, 0),
+            says: (QuorumStatus::Joining, 0),
             patience: Patience::new(set.turn_ms(), set.period_ms, now),
             epoch: 0,
             late: 0.0,
@@ -230,7 +230,7 @@
     }
 
     /// When the next turn is due.
-    pub fn next_due(&self) -> Millis {
+    pub fn next_deadline(&self) -> Millis {
         let later = self.later.front().map(|(at, _)| *at);
         self.judge_at
             .min(self.ends_at)
@@ -249,12 +249,12 @@
     }
 
     /// What this router can say of itself at this very moment.
-    pub fn standing(&self, now: Millis) -> (Says, u32) {
+    pub fn quorum_status(&self, now: Millis) -> (QuorumStatus, u32) {
         (self.own.says(now), self.own.term())
     }
 
     /// Takes the effects so far.
-    pub fn effects(&mut self) -> Vec<Effect> {
+    pub fn take_effects(&mut self) -> Vec<Effect> {
         std::mem::take(&mut self.effects)
     }
 
@@ -268,32 +268,32 @@
     }
 
     /// A datagram. One that is refused is counted and changes nothing.
-    pub fn heard(&mut self, now: Millis, bytes: &[u8]) -> Result<(), Refused> {
+    pub fn receive(&mut self, now: Millis, bytes: &[u8]) -> Result<(), RejectReason> {
         let taken = self.take(now, bytes);
         match taken {
-            Ok(()) => self.counts.taken += 1,
-            Err(why) => *self.counts.refused.entry(why).or_default() += 1,
+            Ok(()) => self.counts.accepted += 1,
+            Err(why) => *self.counts.rejected.entry(why).or_default() += 1,
         }
         taken
     }
 
-    fn take(&mut self, now: Millis, bytes: &[u8]) -> Result<(), Refused> {
+    fn take(&mut self, now: Millis, bytes: &[u8]) -> Result<(), RejectReason> {
         let packet = wire::read(&self.set.fleet, bytes)?;
         let (from, all) = (usize::from(packet.from), self.peers.len());
         if packet.roster != self.roster || usize::from(packet.to) != self.me || from >= all || from == self.me
         {
-            return Err(Refused::Stranger);
+            return Err(RejectReason::Stranger);
         }
-        let lags = packet.lags.read(all).ok_or(Refused::Torn)?;
+        let lags = packet.lags.read(all).ok_or(RejectReason::Torn)?;
         let own = packet.own;
         let lives = packet.lives.read(own);
         if !self.book.fits(&packet.digests) || lives.iter().any(|one| usize::from(one.of) >= all) {
-            return Err(Refused::Torn);
+            return Err(RejectReason::Torn);
         }
         // What comes from an earlier start, or from long ago, says nothing any more.
         let known = self.book.life(from);
         if (own.start, own.term) < (known.start, known.term) {
-            return Err(Refused::Stale);
+            return Err(RejectReason::Stale);
         }
         self.settle(now); // What has ended by now has ended before anything else is known.
         self.allowance.refill(now);
@@ -316,7 +316,7 @@
             }
         }
         if !news && packet.epoch + KEPT < self.epoch {
-            return Err(Refused::Stale); // Said before, or heard before.
+            return Err(RejectReason::Stale); // Said before, or heard before.
         }
         // Whoever lags behind, or alone knows something else, is told what it doesn't know.
         let differs = self.book.lacks(&packet.digests);
@@ -389,7 +389,7 @@
             // back since, or one that should not be. Whoever still speaks takes a start above it.
             self.start = life.start.saturating_add(1);
             self.own.renamed(now);
-            self.effects.push(Effect::Renamed(self.start));
+            self.effects.push(Effect::StartRaised(self.start));
             self.tell_own(now);
         } else if life.start == self.start
             && life.term == self.own.wanted()
@@ -478,7 +478,7 @@
         }
         (peer.state, peer.since, peer.why) = (state, now, why.clone());
         let name = peer.name.clone();
-        self.effects.push(Effect::Changed { name, start: life.start, term: life.term, states, why });
+        self.effects.push(Effect::MemberChanged { name, start: life.start, term: life.term, states, why });
     }
 
     /// A roll that is new here, or has new names: signed if it may be, and what follows from it.
@@ -576,15 +576,15 @@
         let until = self.own.holds_until();
         let wanted = self.own.wanted();
         self.own.settle(now);
-        let (says, term) = self.standing(now);
+        let (says, term) = self.quorum_status(now);
         if (says, term) != self.says {
-            if says == Says::Majority && self.says.0 != Says::Majority {
+            if says == QuorumStatus::Majority && self.says.0 != QuorumStatus::Majority {
                 self.stood_since = now;
             }
             self.says = (says, term);
-            let ago_ms = if says == Says::CutOff { (now - until).max(0.0) } else { 0.0 };
+            let ago_ms = if says == QuorumStatus::CutOff { (now - until).max(0.0) } else { 0.0 };
             let heard_by = (self.heard_by(now), self.set.routers());
-            self.effects.push(Effect::Standing { says, term, ago_ms, heard_by });
+            self.effects.push(Effect::QuorumChanged { status: says, term, ago_ms, heard_by });
         }
         if wanted != self.own.wanted() {
             self.tell_own(now);
@@ -603,14 +603,14 @@
     }
 
     /// A turn: judges the silent, and sends what is due.
-    pub fn turn(&mut self, now: Millis) {
-        if now < self.next_due() {
+    pub fn tick(&mut self, now: Millis) {
+        if now < self.next_deadline() {
             return;
         }
         self.settle(now);
         self.allowance.refill(now);
         if now >= self.judge_at {
-            if let Some(gap) = self.patience.turn(now) {
+            if let Some(gap) = self.patience.tick(now) {
                 // While this router stood still it could hear nobody: that silence is its own.
                 self.peers.iter_mut().for_each(|peer| peer.heard_at = (peer.heard_at + gap).min(now));
                 self.awake_since = now;
@@ -859,7 +859,7 @@
             lives: Lives::default(),
         };
         // One that never stood learns and tells whom there are before all else.
-        let joining = self.own.says(now) == Says::Joining;
+        let joining = self.own.says(now) == QuorumStatus::Joining;
         let most = if joining || wants.is_some() { FULL } else { USUAL };
         let lives = if joining {
             2 * LIVES
--- a/src/fleet/epochs/quorum.rs
+++ b/src/fleet/epochs/quorum.rs
@@ -6,7 +6,7 @@
 //! that wakes from a standstill finds it over before it acts.
 
 use crate::api::Millis;
-use crate::fleet::wire::Says;
+use crate::fleet::wire::QuorumStatus;
 use std::collections::VecDeque;
 
 /// Epochs whose beginnings are remembered: more than a roll is kept.
@@ -114,11 +114,11 @@
     }
 
     /// What it can say of itself.
-    pub fn says(&self, now: Millis) -> Says {
+    pub fn says(&self, now: Millis) -> QuorumStatus {
         match (self.holds(now), self.ever) {
-            (true, _) => Says::Majority,
-            (false, true) => Says::CutOff,
-            (false, false) => Says::Joining,
+            (true, _) => QuorumStatus::Majority,
+            (false, true) => QuorumStatus::CutOff,
+            (false, false) => QuorumStatus::Joining,
         }
     }
 }
--- a/src/fleet/epochs/quorum/tests.rs
+++ b/src/fleet/epochs/quorum/tests.rs
@@ -6,15 +6,15 @@
     for epoch in 5..9 {
         own.entered(epoch, f64::from(epoch) * 500.0);
     }
-    assert_eq!(own.says(4000.0), Says::Joining);
+    assert_eq!(own.says(4000.0), QuorumStatus::Joining);
     own.signed(6, 4500.0);
-    assert_eq!((own.says(4500.0), own.holds_until()), (Says::Majority, 6000.0));
+    assert_eq!((own.says(4500.0), own.holds_until()), (QuorumStatus::Majority, 6000.0));
     own.signed(5, 4600.0);
     assert_eq!(own.holds_until(), 6000.0, "an earlier one changes nothing");
     own.signed(8, 4600.0);
     assert_eq!((own.term(), own.holds_until()), (1, 7000.0));
     own.settle(60_000.0);
-    assert_eq!((own.says(60_000.0), own.wanted()), (Says::CutOff, 2), "after a standstill");
+    assert_eq!((own.says(60_000.0), own.wanted()), (QuorumStatus::CutOff, 2), "after a standstill");
     own.signed(8, 60_000.0);
     assert!(!own.holds(60_000.0), "what was entered long ago counts no more");
     own.entered(99, 60_100.0);
--- a/src/fleet/epochs/tests.rs
+++ b/src/fleet/epochs/tests.rs
@@ -1,12 +1,13 @@
 use super::*;
-use crate::fleet::PeerAt;
+use crate::fleet::PeerAddress;
 
 #[test]
 fn a_silence_counts_from_sure_words_though_unsure_ones_of_the_same_epoch_came_before() {
     let at = |port: u16| SocketAddr::from(([127, 0, 0, 1], port));
     let mut set = Settings::new("f", at(1));
     let peers = ["a", "b"].iter().zip(2..);
-    set.peers = peers.map(|(name, port)| PeerAt { name: (*name).to_owned(), address: at(port) }).collect();
+    set.peers =
+        peers.map(|(name, port)| PeerAddress { name: (*name).to_owned(), address: at(port) }).collect();
     let refuse_ms = set.refuse_ms();
     let mut rolls = Rolls::new(set, "me", 7, 0.0, 1);
     let of = (0..3).find(|of| *of != rolls.me).expect("two others");
--- a/src/fleet/epochs/view.rs
+++ b/src/fleet/epochs/view.rs
@@ -2,24 +2,24 @@
 
 use super::{Peer, Rolls};
 use crate::api::Millis;
-use crate::fleet::{Me, Other, Path, Says, State, View};
+use crate::fleet::{MemberView, QuorumStatus, Reachability, SelfView, State, View};
 
 impl Rolls {
     /// The picture at this moment. Whether the other one hears this router's own datagrams isn't told in a large fleet: paths are
     /// direct, relayed or none.
     pub fn view(&self, now: Millis) -> View {
-        let (says, term) = self.standing(now);
-        let me = Me {
+        let (says, term) = self.quorum_status(now);
+        let me = SelfView {
             name: self.peers[self.me].name.clone(),
             start: self.start.to_string(),
-            standing: if self.leaves { Says::Left } else { says }.word().to_owned(),
+            standing: if self.leaves { QuorumStatus::Left } else { says }.as_str().to_owned(),
             term,
             heard_by: self.heard_by(now),
             of: self.set.routers(),
         };
         let other = |(of, peer): (usize, &Peer)| {
             let start = self.book.life(of).start;
-            Other {
+            MemberView {
                 name: peer.name.clone(),
                 start: if start == 0 { String::new() } else { start.to_string() },
                 state: peer.state,
@@ -28,7 +28,7 @@
                 why: peer.why.clone(),
             }
         };
-        let mut members: Vec<Other> =
+        let mut members: Vec<MemberView> =
             self.peers.iter().enumerate().filter(|(of, _)| *of != self.me).map(other).collect();
         let place = |name: &str| self.set.peers.iter().position(|peer| peer.name == name);
         members.sort_by_cached_key(|member| place(&member.name));
@@ -36,19 +36,19 @@
     }
 
     /// How many of the others are in each state, by its word.
-    pub fn tally(&self) -> [(&'static str, usize); 5] {
+    pub fn count_by_state(&self) -> [(&'static str, usize); 5] {
         let others = || self.peers.iter().enumerate().filter(|(of, _)| *of != self.me);
         [State::Joining, State::Alive, State::Suspect, State::Gone, State::Left]
-            .map(|state| (state.word(), others().filter(|(_, peer)| peer.state == state).count()))
+            .map(|state| (state.as_str(), others().filter(|(_, peer)| peer.state == state).count()))
     }
 
-    fn path(&self, peer: &Peer, now: Millis) -> Path {
+    fn path(&self, peer: &Peer, now: Millis) -> Reachability {
         if peer.direct_at.is_some_and(|at| now - at < self.set.direct_ms()) {
-            Path::Direct
+            Reachability::Direct
         } else if matches!(peer.state, State::Alive) {
-            Path::Relayed
+            Reachability::Relayed
         } else {
-            Path::None
+            Reachability::None
         }
     }
 }
--- a/src/fleet/epochs/wire.rs
+++ b/src/fleet/epochs/wire.rs
@@ -2,7 +2,7 @@
 
 use super::ballots::Terms;
 use super::encoding::{Form, Lags};
-use crate::fleet::wire::{open, seal, Refused, HEAD, MAX_DATAGRAM, ROLLS};
+use crate::fleet::wire::{open, seal, RejectReason, HEAD, MAX_DATAGRAM, ROLLS};
 use serde::{Deserialize, Serialize};
 
 /// What is said of a life. What comes later in this order holds.
@@ -158,11 +158,11 @@
 }
 
 /// Reads a datagram of this fleet.
-pub fn read(fleet: &str, bytes: &[u8]) -> Result<Packet, Refused> {
+pub fn read(fleet: &str, bytes: &[u8]) -> Result<Packet, RejectReason> {
     let body = open(ROLLS, fleet, bytes)?;
-    let (packet, _later): (Packet, _) = postcard::take_from_bytes(body).map_err(|_| Refused::Torn)?;
+    let (packet, _later): (Packet, _) = postcard::take_from_bytes(body).map_err(|_| RejectReason::Torn)?;
     if packet.rolls.len() > MOST_ROLLS || packet.own.start == 0 {
-        return Err(Refused::Torn);
+        return Err(RejectReason::Torn);
     }
     Ok(packet)
 }
--- a/src/fleet/epochs/wire/tests.rs
+++ b/src/fleet/epochs/wire/tests.rs
@@ -33,11 +33,11 @@
     assert_eq!(packet.lives.read(own), entries);
     let bytes = write("north", &packet);
     assert_eq!(read("north", &bytes), Ok(packet.clone()));
-    assert_eq!(read("south", &bytes), Err(Refused::Foreign));
-    assert_eq!(crate::fleet::wire::read("north", &bytes), Err(Refused::Foreign), "it is no row");
-    assert!((HEAD..bytes.len()).all(|at| read("north", &bytes[..at]) == Err(Refused::Torn)));
+    assert_eq!(read("south", &bytes), Err(RejectReason::Foreign));
+    assert_eq!(crate::fleet::wire::read("north", &bytes), Err(RejectReason::Foreign), "it is no row");
+    assert!((HEAD..bytes.len()).all(|at| read("north", &bytes[..at]) == Err(RejectReason::Torn)));
     let other = Packet { own: Life::default(), ..packet };
-    assert_eq!(read("north", &write("north", &other)), Err(Refused::Torn), "which start speaks?");
+    assert_eq!(read("north", &write("north", &other)), Err(RejectReason::Torn), "which start speaks?");
     fn property(junk: Vec<u8>) -> bool {
         let _ = read("n", &seal(ROLLS, "n", &junk));
         read("n", &junk).is_err()
--- a/src/fleet/local_health.rs
+++ b/src/fleet/local_health.rs
@@ -25,7 +25,7 @@
 
     /// A turn; the length of the standstill before it, if it was one. What others said meanwhile may still wait to
     /// be read: nobody is judged for a while.
-    pub fn turn(&mut self, now: Millis) -> Option<Millis> {
+    pub fn tick(&mut self, now: Millis) -> Option<Millis> {
         let gap = (now - self.last).max(0.0);
         self.last = now;
         let late = (gap - self.turn_ms).clamp(0.0, self.still_ms);
--- a/src/fleet/member.rs
+++ b/src/fleet/member.rs
@@ -1,8 +1,8 @@
 //! One other router as this one sees it.
 
-use super::settings::Id;
-use super::settings::PeerAt;
-use super::wire::{GivenUp, Row, Says};
+use super::settings::PeerAddress;
+use super::settings::RouterId;
+use super::wire::{GivenUp, QuorumStatus, Row};
 use crate::api::Millis;
 use std::collections::BTreeMap;
 
@@ -26,7 +26,7 @@
 
 impl State {
     /// The word that operators read.
-    pub fn word(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         match self {
             Self::Joining => "joining",
             Self::Alive => "alive",
@@ -40,7 +40,7 @@
 /// By which way two routers hear each other.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Path {
+pub enum Reachability {
     /// Each hears the other's own datagrams.
     Direct,
     /// Through others only.
@@ -51,9 +51,9 @@
     None,
 }
 
-impl Path {
+impl Reachability {
     /// The word that operators read.
-    pub fn word(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         match self {
             Self::Direct => "direct",
             Self::Relayed => "relayed",
@@ -92,8 +92,8 @@
 /// Another router.
 #[derive(Clone, Debug)]
 pub(super) struct Member {
-    pub at: PeerAt,
-    pub id: Id,
+    pub at: PeerAddress,
+    pub id: RouterId,
     /// Its latest words; none: never heard.
     pub row: Option<Row>,
     /// When these were new at the router that first heard them, as far as can be told: never earlier than they were said.
@@ -133,10 +133,10 @@
 }
 
 impl Member {
-    pub fn new(at: PeerAt, window_ms: Millis, now: Millis) -> Self {
+    pub fn new(at: PeerAddress, window_ms: Millis, now: Millis) -> Self {
         Self {
             transit: Transit::new(window_ms),
-            id: Id::of(&at.name),
+            id: RouterId::of(&at.name),
             at,
             row: None,
             known_at: now,
@@ -173,8 +173,8 @@
         self.row.as_ref().map_or(0, |row| row.beat)
     }
 
-    pub fn says(&self) -> Says {
-        self.row.as_ref().map_or(Says::Joining, |row| row.says)
+    pub fn says(&self) -> QuorumStatus {
+        self.row.as_ref().map_or(QuorumStatus::Joining, |row| row.says)
     }
 
     pub fn silent(&self, now: Millis) -> Millis {
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -7,7 +7,7 @@
 //! a roll twice a second ([`epochs`]). The sentences are the same, and each says by which lines it keeps them.
 //!
 //! **Holds at every instant**, whatever is lost, late, doubled, stalled, restarted or cut, while clocks run alike within
-//! [`DRIFT`](settings::DRIFT):
+//! [`MAX_CLOCK_DRIFT`](settings::MAX_CLOCK_DRIFT):
 //!
 //! - *Who is called gone knew before that it was cut off.*
 //! - *No word about or from an earlier start counts.*
@@ -16,20 +16,20 @@
 //! **Holds once faults end**: whoever is heard both ways by a majority, through any helper, has its standing and is alive at
 //! all others; whoever is dead is gone at all that have a majority.
 
-mod rate_limit;
-mod member;
-pub mod local_health;
 pub mod epochs;
+pub mod local_health;
+mod member;
 pub mod observations;
-pub mod settings;
 pub mod quorum;
+mod rate_limit;
+pub mod settings;
 mod view;
 pub mod wire;
 
-pub use member::{Path, State};
-pub use settings::{Id, PeerAt, Settings, MAX_ROUTERS};
-pub use view::{Me, Other, View};
-pub use wire::{Refused, Says};
+pub use member::{Reachability, State};
+pub use settings::{PeerAddress, RouterId, Settings, MAX_ROUTERS};
+pub use view::{MemberView, SelfView, View};
+pub use wire::{QuorumStatus, RejectReason};
 
 use crate::api::Millis;
 use epochs::Rolls;
@@ -48,9 +48,9 @@
         bytes: Vec<u8>,
     },
     /// This router's standing has changed, or its term.
-    Standing {
+    QuorumChanged {
         /// What it is now.
-        says: Says,
+        status: QuorumStatus,
         /// Its term.
         term: u32,
         /// How long ago that began, in ms: after a standstill it is noticed late, but held from then on.
@@ -59,7 +59,7 @@
         heard_by: (usize, usize),
     },
     /// Another router's state has changed.
-    Changed {
+    MemberChanged {
         /// Whose.
         name: String,
         /// Which start of it, and which term.
@@ -74,7 +74,7 @@
     /// This router's own timers have stood still for so long.
     Stalled(Millis),
     /// Another process goes or went by this router's name: its start is now this one.
-    Renamed(u64),
+    StartRaised(u64),
 }
 
 /// Datagrams that came and went.
@@ -85,9 +85,9 @@
     /// See `sent`.
     pub sent_bytes: u64,
     /// Taken.
-    pub taken: u64,
+    pub accepted: u64,
     /// Refused, by why.
-    pub refused: BTreeMap<Refused, u64>,
+    pub rejected: BTreeMap<RejectReason, u64>,
 }
 
 /// One router's picture of the fleet, by the way that fits its size.
@@ -127,8 +127,8 @@
     }
 
     /// When the next turn is due.
-    pub fn next_due(&self) -> Millis {
-        either!(self, way => way.next_due())
+    pub fn next_deadline(&self) -> Millis {
+        either!(self, way => way.next_deadline())
     }
 
     /// What has come and gone.
@@ -143,23 +143,23 @@
 
     /// What this router can say of itself at this very moment, and in which term: asked by whatever rests on it, each time
     /// before it acts.
-    pub fn standing(&self, now: Millis) -> (Says, u32) {
-        either!(self, way => way.standing(now))
+    pub fn quorum_status(&self, now: Millis) -> (QuorumStatus, u32) {
+        either!(self, way => way.quorum_status(now))
     }
 
     /// Takes the effects so far.
-    pub fn effects(&mut self) -> Vec<Effect> {
-        either!(self, way => way.effects())
+    pub fn take_effects(&mut self) -> Vec<Effect> {
+        either!(self, way => way.take_effects())
     }
 
     /// A datagram. One that is refused is counted and changes nothing.
-    pub fn heard(&mut self, now: Millis, bytes: &[u8]) -> Result<(), Refused> {
-        either!(self, way => way.heard(now, bytes))
+    pub fn receive(&mut self, now: Millis, bytes: &[u8]) -> Result<(), RejectReason> {
+        either!(self, way => way.receive(now, bytes))
     }
 
     /// A turn, where one is due: judges the silent, and sends.
-    pub fn turn(&mut self, now: Millis) {
-        either!(self, way => way.turn(now))
+    pub fn tick(&mut self, now: Millis) {
+        either!(self, way => way.tick(now))
     }
 
     /// This router ends: others are told, once, out of turn.
@@ -173,7 +173,7 @@
     }
 
     /// How many of the others are in each state, by its word.
-    pub fn tally(&self) -> [(&'static str, usize); 5] {
-        either!(self, way => way.tally())
+    pub fn count_by_state(&self) -> [(&'static str, usize); 5] {
+        either!(self, way => way.count_by_state())
     }
 }
--- a/src/fleet/observations.rs
+++ b/src/fleet/observations.rs
@@ -12,12 +12,12 @@
 //! - *No word about or from an earlier start counts* (`Rows::accept`: starts only grow; `Heard::tag`).
 //! - *A term that has ended never comes back* (`Ledger::settle`).
 
-use super::rate_limit::Allowance;
-use super::member::{Member, Transit};
 use super::local_health::{self, Patience};
-use super::settings::{Id, Settings};
+use super::member::{Member, Transit};
 use super::quorum::{Answer, Ledger, BEAT_MS};
-use super::wire::{self, GivenUp, Heard, Packet, Refused, Row, Says};
+use super::rate_limit::Allowance;
+use super::settings::{RouterId, Settings};
+use super::wire::{self, GivenUp, Heard, Packet, QuorumStatus, RejectReason, Row};
 use super::{Counts, Effect, State};
 use crate::api::Millis;
 use std::collections::BTreeMap;
@@ -37,7 +37,7 @@
 const AGE_PART: f64 = 0.2;
 
 /// Later words of one start of a router: what they don't speak of stays as it was.
-fn merged(known: Option<Row>, mut row: Row, roster: impl Fn(Id) -> bool) -> Row {
+fn merged(known: Option<Row>, mut row: Row, roster: impl Fn(RouterId) -> bool) -> Row {
     row.heard.retain(|heard| roster(heard.of));
     if let Some(known) = known.filter(|known| known.start == row.start) {
         for old in known.heard {
@@ -54,17 +54,17 @@
 pub struct Rows {
     pub(super) set: Settings,
     pub(super) name: String,
-    id: Id,
+    id: RouterId,
     start: u64,
     pub(super) born: Millis,
     pub(super) ledger: Ledger,
     /// What was last told of its standing.
-    says: (Says, u32),
+    says: (QuorumStatus, u32),
     patience: Patience,
     pub(super) members: Vec<Member>,
-    index: BTreeMap<Id, usize>,
+    index: BTreeMap<RouterId, usize>,
     /// All ids in order, this router's among them, and a hash of them.
-    roster: Vec<Id>,
+    roster: Vec<RouterId>,
     roster_tag: u32,
     /// Whose turn is next: among those whose datagrams come, and among the rest.
     next: [usize; 2],
@@ -81,11 +81,12 @@
 impl Rows {
     /// One that begins now; the settings' names are [good](Settings::named).
     pub fn new(set: Settings, name: &str, start: u64, now: Millis, seed: u64) -> Self {
-        let id = Id::of(name);
+        let id = RouterId::of(name);
         let members: Vec<Member> =
             set.peers.iter().map(|at| Member::new(at.clone(), set.window_ms(), now)).collect();
-        let index: BTreeMap<Id, usize> = members.iter().enumerate().map(|(at, one)| (one.id, at)).collect();
-        let mut roster: Vec<Id> = index.keys().copied().chain([id]).collect();
+        let index: BTreeMap<RouterId, usize> =
+            members.iter().enumerate().map(|(at, one)| (one.id, at)).collect();
+        let mut roster: Vec<RouterId> = index.keys().copied().chain([id]).collect();
         roster.sort_unstable();
         let bytes: Vec<u8> = roster.iter().flat_map(|id| id.0).collect();
         Self {
@@ -97,7 +98,7 @@
             id,
             start: start.max(1),
             born: now,
-            says: (Says::Joining, 0),
+            says: (QuorumStatus::Joining, 0),
             next: [seed as usize % members.len().max(1); 2],
             turns: 0,
             window: 0,
@@ -118,7 +119,7 @@
     }
 
     /// When the next turn is due.
-    pub fn next_due(&self) -> Millis {
+    pub fn next_deadline(&self) -> Millis {
         self.turn_at
     }
 
@@ -133,30 +134,30 @@
     }
 
     /// What this router can say of itself at this very moment: asked by whatever rests on it, each time before it acts.
-    pub fn standing(&self, now: Millis) -> (Says, u32) {
+    pub fn quorum_status(&self, now: Millis) -> (QuorumStatus, u32) {
         (self.ledger.says(now - self.born), self.ledger.term())
     }
 
     /// Takes the effects so far.
-    pub fn effects(&mut self) -> Vec<Effect> {
+    pub fn take_effects(&mut self) -> Vec<Effect> {
         std::mem::take(&mut self.effects)
     }
 
     /// A datagram. One that is refused is counted and changes nothing.
-    pub fn heard(&mut self, now: Millis, bytes: &[u8]) -> Result<(), Refused> {
+    pub fn receive(&mut self, now: Millis, bytes: &[u8]) -> Result<(), RejectReason> {
         let taken = self.take(now, bytes);
         match taken {
-            Ok(()) => self.counts.taken += 1,
-            Err(why) => *self.counts.refused.entry(why).or_default() += 1,
+            Ok(()) => self.counts.accepted += 1,
+            Err(why) => *self.counts.rejected.entry(why).or_default() += 1,
         }
         taken
     }
 
-    fn take(&mut self, now: Millis, bytes: &[u8]) -> Result<(), Refused> {
+    fn take(&mut self, now: Millis, bytes: &[u8]) -> Result<(), RejectReason> {
         let packet = wire::read(&self.set.fleet, bytes)?;
-        let from = packet.rows.first().map(|row| row.who).ok_or(Refused::Torn)?;
+        let from = packet.rows.first().map(|row| row.who).ok_or(RejectReason::Torn)?;
         if packet.to != self.id || !self.index.contains_key(&from) {
-            return Err(Refused::Stranger);
+            return Err(RejectReason::Stranger);
         }
         self.settle(now); // What has ended by now has ended before anything else is known.
         if packet.to_start > self.start {
@@ -173,7 +174,7 @@
         if fresh {
             Ok(())
         } else {
-            Err(Refused::Stale)
+            Err(RejectReason::Stale)
         }
     }
 
@@ -226,12 +227,12 @@
         if direct {
             // One that has not heard this router for long, or not this start, is answered out of turn.
             let lag = mine.map_or(f64::INFINITY, |heard| now - self.born - f64::from(heard.beat) * BEAT_MS);
-            member.owed |= lag > self.set.ask_ms() || row.says != Says::Majority;
+            member.owed |= lag > self.set.ask_ms() || row.says != QuorumStatus::Majority;
         }
         let (term, says) = (row.term, row.says);
         let (known, index) = (member.row.take(), &self.index);
         member.row = Some(merged(known, row, |of| index.contains_key(&of) || of == self.id));
-        if says == Says::Left {
+        if says == QuorumStatus::Left {
             self.change(at, State::Left, now, "it has said that it ends".to_owned());
         } else {
             let member = &self.members[at];
@@ -274,7 +275,7 @@
         }
         (member.state, member.since, member.why) = (state, now, why.clone());
         let (name, start, term) = (member.at.name.clone(), member.start(), member.term());
-        self.effects.push(Effect::Changed { name, start, term, states, why });
+        self.effects.push(Effect::MemberChanged { name, start, term, states, why });
     }
 
     /// Another process has this router's name with a later start: an earlier process, where the Unix clock was set back
@@ -282,7 +283,7 @@
     fn rename(&mut self, above: u64, now: Millis) {
         self.start = above.saturating_add(1);
         (0..self.members.len()).for_each(|at| self.ledger.forget(at));
-        self.effects.push(Effect::Renamed(self.start));
+        self.effects.push(Effect::StartRaised(self.start));
         self.settle(now);
     }
 
@@ -294,19 +295,19 @@
         let (says, term) = (self.ledger.says(clock), self.ledger.term());
         if (says, term) != self.says {
             self.says = (says, term);
-            let ago_ms = if says == Says::CutOff { (clock - until).max(0.0) } else { 0.0 };
+            let ago_ms = if says == QuorumStatus::CutOff { (clock - until).max(0.0) } else { 0.0 };
             let heard_by = (self.ledger.heard_by(clock), self.set.routers());
-            self.effects.push(Effect::Standing { says, term, ago_ms, heard_by });
+            self.effects.push(Effect::QuorumChanged { status: says, term, ago_ms, heard_by });
             self.members.iter_mut().for_each(|member| member.owed = true);
         }
     }
 
     /// A turn: judges the silent, and sends.
-    pub fn turn(&mut self, now: Millis) {
+    pub fn tick(&mut self, now: Millis) {
         if now < self.turn_at {
             return;
         }
-        if let Some(gap) = self.patience.turn(now) {
+        if let Some(gap) = self.patience.tick(now) {
             // While this router stood still it could hear nobody: that silence is its own.
             for member in &mut self.members {
                 member.heard_at = (member.heard_at + gap).min(now);
@@ -371,7 +372,7 @@
     }
 
     /// One's place in the roster.
-    fn place(&self, id: Id) -> usize {
+    fn place(&self, id: RouterId) -> usize {
         self.roster.binary_search(&id).unwrap_or(0)
     }
 
@@ -556,7 +557,7 @@
             term: self.ledger.wanted(),
             beat,
             age: 0,
-            says: if self.leaves { Says::Left } else { self.ledger.says(now - self.born) },
+            says: if self.leaves { QuorumStatus::Left } else { self.ledger.says(now - self.born) },
             heard,
         }
     }
--- a/src/fleet/observations/tests.rs
+++ b/src/fleet/observations/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use crate::fleet::rate_limit::{AT_ONCE, PER_S};
 use crate::fleet::settings::ROWS_UPTO;
-use crate::fleet::PeerAt;
+use crate::fleet::PeerAddress;
 use quickcheck::{Gen, QuickCheck};
 
 const ME: &str = "n0";
@@ -9,7 +9,7 @@
 fn set() -> Settings {
     let at = |port: u16| ([127, 0, 0, 1], port).into();
     let mut set = Settings::new("north", at(7400));
-    set.peers = (1..4).map(|one| PeerAt { name: format!("n{one}"), address: at(7400 + one) }).collect();
+    set.peers = (1..4).map(|one| PeerAddress { name: format!("n{one}"), address: at(7400 + one) }).collect();
     set
 }
 
@@ -21,7 +21,7 @@
 fn row(who: &str, start: u64, now: Millis, fleet: &Rows, of: Option<(u64, u32, bool)>) -> Row {
     let beat = (now / BEAT_MS) as u32;
     let me = Heard {
-        of: Id::of(ME),
+        of: RouterId::of(ME),
         tag: wire::tag(fleet.start),
         beat,
         refused: 0,
@@ -30,7 +30,7 @@
         direct: true,
     };
     let other = of.map(|(start, voted, suspect)| Heard {
-        of: Id::of("n1"),
+        of: RouterId::of("n1"),
         tag: wire::tag(start),
         refused: voted,
         voted,
@@ -38,17 +38,17 @@
         ..me
     });
     let heard = [me].into_iter().chain(other).collect();
-    Row { who: Id::of(who), start, term: 1, beat, age: 0, says: Says::Majority, heard }
+    Row { who: RouterId::of(who), start, term: 1, beat, age: 0, says: QuorumStatus::Majority, heard }
 }
 
 fn datagram(to: &str, to_start: u64, row: Row) -> Vec<u8> {
-    let packet = Packet { to: Id::of(to), to_start, roster: 0, rows: vec![row], given_up: Vec::new() };
+    let packet = Packet { to: RouterId::of(to), to_start, roster: 0, rows: vec![row], given_up: Vec::new() };
     wire::write("north", packet, std::iter::empty()).0
 }
 
-fn hear(fleet: &mut Rows, now: Millis, row: Row) -> Result<(), Refused> {
+fn hear(fleet: &mut Rows, now: Millis, row: Row) -> Result<(), RejectReason> {
     let bytes = datagram(ME, fleet.start, row);
-    fleet.heard(now, &bytes)
+    fleet.receive(now, &bytes)
 }
 
 fn state(fleet: &Rows, one: usize) -> State {
@@ -63,8 +63,8 @@
             let row = row(who, 5, now, fleet, of);
             hear(fleet, now, row).expect("news");
         }
-        fleet.turn(now);
-        fleet.effects();
+        fleet.tick(now);
+        fleet.take_effects();
         now += 100.0;
     }
 }
@@ -81,7 +81,7 @@
         (State::Suspect, 1),
         "it is given up here, and not gone"
     );
-    assert_eq!(fleet.standing(12_000.0).0, Says::Majority);
+    assert_eq!(fleet.quorum_status(12_000.0).0, QuorumStatus::Majority);
     play(&mut fleet, 12_000.0, 12_300.0, Some((500, 1, true)));
     assert_eq!(state(&fleet, 1), State::Gone);
     // Its old term does not bring it back, whoever relays it; the next one does, and so does a new start.
@@ -95,7 +95,7 @@
     hear(&mut fleet, 12_600.0, anew).expect("news");
     assert_eq!((state(&fleet, 1), fleet.members[0].refused), (State::Alive, 0));
     same.beat += 100;
-    assert_eq!(hear(&mut fleet, 12_700.0, same), Err(Refused::Stale), "the start before");
+    assert_eq!(hear(&mut fleet, 12_700.0, same), Err(RejectReason::Stale), "the start before");
 }
 
 #[test]
@@ -105,8 +105,8 @@
         let row = row(who, 5, 0.0, &fleet, Some((500, 9, true)));
         hear(&mut fleet, 0.0, row).expect("news");
     }
-    (1..600).for_each(|turn| fleet.turn(f64::from(turn) * 100.0));
-    assert_eq!(fleet.standing(60_000.0).0, Says::CutOff);
+    (1..600).for_each(|turn| fleet.tick(f64::from(turn) * 100.0));
+    assert_eq!(fleet.quorum_status(60_000.0).0, QuorumStatus::CutOff);
     assert!((1..4).all(|one| state(&fleet, one) == State::Suspect));
     assert!(fleet.members.iter().all(|member| member.voted == 0), "nor gives anybody up");
 }
@@ -134,13 +134,13 @@
 fn a_later_start_by_this_name_is_outbid_and_what_was_answered_to_it_counts_no_more() {
     let mut fleet = fleet();
     play(&mut fleet, 0.0, 300.0, None);
-    assert_eq!(fleet.standing(300.0).0, Says::Majority);
+    assert_eq!(fleet.quorum_status(300.0).0, QuorumStatus::Majority);
     let row = row("n2", 5, 400.0, &fleet, None);
     let bytes = datagram(ME, 5000, row);
-    fleet.heard(400.0, &bytes).expect("news");
-    assert_eq!((fleet.start(), fleet.standing(400.0).0), (5001, Says::CutOff));
+    fleet.receive(400.0, &bytes).expect("news");
+    assert_eq!((fleet.start(), fleet.quorum_status(400.0).0), (5001, QuorumStatus::CutOff));
     play(&mut fleet, 500.0, 800.0, None);
-    assert_eq!(fleet.standing(800.0).0, Says::Majority);
+    assert_eq!(fleet.quorum_status(800.0).0, QuorumStatus::Majority);
 }
 
 #[test]
@@ -148,16 +148,16 @@
     let mut fleet = fleet();
     let good = row("n1", 500, 10.0, &fleet, None);
     let bytes = datagram(ME, 0, good.clone());
-    assert_eq!(fleet.heard(10.0, &bytes), Ok(()));
-    assert_eq!(fleet.heard(20.0, &bytes), Err(Refused::Stale));
+    assert_eq!(fleet.receive(10.0, &bytes), Ok(()));
+    assert_eq!(fleet.receive(20.0, &bytes), Err(RejectReason::Stale));
     let mut write = |to: &str, row: &Row| {
         let bytes = datagram(to, 0, row.clone());
-        fleet.heard(30.0, &bytes)
+        fleet.receive(30.0, &bytes)
     };
-    assert_eq!(write("n2", &good), Err(Refused::Stranger), "it is for another one");
-    assert_eq!(write(ME, &Row { who: Id::of("n9"), ..good.clone() }), Err(Refused::Stranger));
-    assert_eq!(write(ME, &Row { who: Id::of(ME), ..good }), Err(Refused::Stranger));
-    assert_eq!(fleet.counts().refused, [(Refused::Stranger, 3), (Refused::Stale, 1)].into());
+    assert_eq!(write("n2", &good), Err(RejectReason::Stranger), "it is for another one");
+    assert_eq!(write(ME, &Row { who: RouterId::of("n9"), ..good.clone() }), Err(RejectReason::Stranger));
+    assert_eq!(write(ME, &Row { who: RouterId::of(ME), ..good }), Err(RejectReason::Stranger));
+    assert_eq!(fleet.counts().rejected, [(RejectReason::Stranger, 3), (RejectReason::Stale, 1)].into());
 }
 
 /// Whatever comes, in whatever order, and however time jumps on: no panic, bounded memory, and no more datagrams than a
@@ -170,15 +170,17 @@
             now += f64::from(later) * if flags & 64 == 0 { 0.01 } else { 1.0 };
             let mut row = row(&format!("n{}", who % 5), 500 + u64::from(who / 5 % 3), now, &fleet, None);
             (row.term, row.age) = (u32::from(term), later);
-            row.says = [Says::Joining, Says::Majority, Says::CutOff, Says::Left][usize::from(flags % 4)];
+            row.says =
+                [QuorumStatus::Joining, QuorumStatus::Majority, QuorumStatus::CutOff, QuorumStatus::Left]
+                    [usize::from(flags % 4)];
             for heard in &mut row.heard {
                 (heard.refused, heard.voted) = (u32::from(term % 7), u32::from(flags % 5));
                 (heard.suspect, heard.direct) = (flags & 8 != 0, flags & 16 != 0);
             }
             let _ = hear(&mut fleet, now, row);
-            let _ = fleet.heard(now, &junk);
-            fleet.turn(now);
-            for effect in fleet.effects() {
+            let _ = fleet.receive(now, &junk);
+            fleet.tick(now);
+            for effect in fleet.take_effects() {
                 match effect {
                     Effect::Send { bytes, .. } if bytes.len() > wire::MAX_DATAGRAM => return false,
                     Effect::Send { .. } => sent += 1.0,
--- a/src/fleet/quorum.rs
+++ b/src/fleet/quorum.rs
@@ -5,7 +5,7 @@
 //! term does not count for it, whatever it answers. That is all that a term's standing rests on, so that it is a
 //! function of the time: a router that wakes from a standstill finds its answers too old before it acts.
 
-use super::wire::Says;
+use super::wire::QuorumStatus;
 use crate::api::Millis;
 
 /// Milliseconds of one unit of beats.
@@ -91,11 +91,11 @@
     }
 
     /// What it can say of itself.
-    pub fn says(&self, now: Millis) -> Says {
+    pub fn says(&self, now: Millis) -> QuorumStatus {
         match (self.holds(now), self.ever) {
-            (true, _) => Says::Majority,
-            (false, true) => Says::CutOff,
-            (false, false) => Says::Joining,
+            (true, _) => QuorumStatus::Majority,
+            (false, true) => QuorumStatus::CutOff,
+            (false, false) => QuorumStatus::Joining,
         }
     }
 
--- a/src/fleet/quorum/tests.rs
+++ b/src/fleet/quorum/tests.rs
@@ -7,7 +7,7 @@
 #[test]
 fn an_answer_counts_from_when_what_it_answers_was_sent() {
     let mut ledger = Ledger::new(4, 3, 3000.0);
-    assert_eq!(ledger.says(0.0), Says::Joining);
+    assert_eq!(ledger.says(0.0), QuorumStatus::Joining);
     ledger.note(0, answer(1000.0, 0), 3500.0);
     ledger.note(1, answer(2000.0, 0), 3500.0);
     assert!(ledger.settle(3500.0) && ledger.holds(3500.0));
--- a/src/fleet/settings.rs
+++ b/src/fleet/settings.rs
@@ -9,9 +9,9 @@
 /// Up to so many pass on rows of who has heard whom; more call rolls. Measured: at 24, rows are too slow to keep pace.
 pub const ROWS_UPTO: usize = 16;
 /// Bytes of a router's or a fleet's name.
-pub const MAX_NAME: usize = 64;
+pub const MAX_NAME_BYTES: usize = 64;
 /// Clocks that should run alike may differ by so much of a time.
-pub const DRIFT: f64 = 0.01;
+pub const MAX_CLOCK_DRIFT: f64 = 0.01;
 /// A period holds so many turns, each of which sends one datagram.
 const TURNS: f64 = 5.0;
 
@@ -22,9 +22,9 @@
 
 /// A router's name as datagrams carry it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, serde::Serialize, serde::Deserialize)]
-pub struct Id(pub [u8; 4]);
+pub struct RouterId(pub [u8; 4]);
 
-impl Id {
+impl RouterId {
     /// The name's. Two names of one fleet that share it are refused where the file is read.
     pub fn of(name: &str) -> Self {
         Self((XxHash64::oneshot(0, name.as_bytes()) as u32).to_le_bytes())
@@ -33,7 +33,7 @@
 
 /// Another router, and where it is reached from here.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct PeerAt {
+pub struct PeerAddress {
     /// Its name.
     pub name: String,
     /// Where its datagrams go.
@@ -48,7 +48,7 @@
     /// Where this router hears the others.
     pub listen: SocketAddr,
     /// All others.
-    pub peers: Vec<PeerAt>,
+    pub peers: Vec<PeerAddress>,
     /// Time in which five datagrams leave.
     pub period_ms: Millis,
     /// Least and most time from suspicion to the word that a router is gone.
@@ -77,7 +77,7 @@
             return Err(format!("{name} is among its own peers"));
         }
         let names = self.peers.iter().map(|peer| peer.name.as_str()).chain([name]);
-        let ids: std::collections::BTreeSet<Id> = names.map(Id::of).collect();
+        let ids: std::collections::BTreeSet<RouterId> = names.map(RouterId::of).collect();
         if ids.len() < self.routers() {
             return Err(format!(
                 "the fleet has two names that datagrams can't tell apart; {name} is one, or two peers"
@@ -169,9 +169,9 @@
     /// The least time from when a router knows that it is cut off to when anyone may call it gone.
     pub fn knows_before_ms(&self) -> Millis {
         // A silence may be reckoned from words on their way, whose time is known but for the drift within two windows.
-        let reckoned = if self.calls_rolls() { 0.0 } else { 2.0 * self.window_ms() * DRIFT };
-        let silence = self.refuse_ms() * (1.0 - DRIFT) - reckoned;
-        silence - self.lease_ms() * (1.0 + DRIFT)
+        let reckoned = if self.calls_rolls() { 0.0 } else { 2.0 * self.window_ms() * MAX_CLOCK_DRIFT };
+        let silence = self.refuse_ms() * (1.0 - MAX_CLOCK_DRIFT) - reckoned;
+        silence - self.lease_ms() * (1.0 + MAX_CLOCK_DRIFT)
     }
 }
 
--- a/src/fleet/settings/tests.rs
+++ b/src/fleet/settings/tests.rs
@@ -6,7 +6,7 @@
         for routers in [2usize, 3, 12, MAX_ROUTERS] {
             let mut settings = Settings::new("north", ([127, 0, 0, 1], 1).into());
             (settings.period_ms, settings.suspicion_ms) = (period, [least, 2.0 * least]);
-            let peer = |n: usize| PeerAt { name: n.to_string(), address: settings.listen };
+            let peer = |n: usize| PeerAddress { name: n.to_string(), address: settings.listen };
             settings.peers = (1..routers).map(peer).collect();
             let part = if settings.calls_rolls() { 0.05 } else { 0.15 };
             assert!(settings.knows_before_ms() > part * settings.refuse_ms());
--- a/src/fleet/view.rs
+++ b/src/fleet/view.rs
@@ -2,14 +2,14 @@
 
 use super::member::Member;
 use super::observations::Rows;
-use super::wire::Says;
-use super::{Path, State};
+use super::wire::QuorumStatus;
+use super::{Reachability, State};
 use crate::api::Millis;
 use serde::{Deserialize, Serialize};
 
 /// This router.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Me {
+pub struct SelfView {
     /// Its name.
     pub name: String,
     /// Its start.
@@ -26,7 +26,7 @@
 
 /// Another router.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Other {
+pub struct MemberView {
     /// Its name.
     pub name: String,
     /// Its latest start that is known; empty: none.
@@ -34,7 +34,7 @@
     /// What it is taken for.
     pub state: State,
     /// By which way it is heard.
-    pub path: Path,
+    pub path: Reachability,
     /// For how long it has been in this state, in ms.
     pub since_ms: u64,
     /// Why.
@@ -45,14 +45,14 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct View {
     /// This router.
-    pub me: Me,
+    pub me: SelfView,
     /// All others, in the file's order.
-    pub members: Vec<Other>,
+    pub members: Vec<MemberView>,
 }
 
-impl Says {
+impl QuorumStatus {
     /// The word that operators read.
-    pub fn word(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         match self {
             Self::Joining => "joining",
             Self::Majority => "majority",
@@ -65,9 +65,9 @@
 impl Rows {
     /// The picture at this moment.
     pub fn view(&self, now: Millis) -> View {
-        let (says, term) = self.standing(now);
-        let standing = if self.leaves { Says::Left } else { says }.word().to_owned();
-        let me = Me {
+        let (says, term) = self.quorum_status(now);
+        let standing = if self.leaves { QuorumStatus::Left } else { says }.as_str().to_owned();
+        let me = SelfView {
             name: self.name.clone(),
             start: self.start().to_string(),
             standing,
@@ -75,7 +75,7 @@
             heard_by: self.ledger.heard_by(now - self.born),
             of: self.set.routers(),
         };
-        let member = |(at, member): (usize, &Member)| Other {
+        let member = |(at, member): (usize, &Member)| MemberView {
             name: member.at.name.clone(),
             start: member.row.as_ref().map_or(String::new(), |row| row.start.to_string()),
             state: member.state,
@@ -87,19 +87,19 @@
     }
 
     /// How many of the others are in each state, by its word.
-    pub fn tally(&self) -> [(&'static str, usize); 5] {
+    pub fn count_by_state(&self) -> [(&'static str, usize); 5] {
         [State::Joining, State::Alive, State::Suspect, State::Gone, State::Left]
-            .map(|state| (state.word(), self.members.iter().filter(|member| member.state == state).count()))
+            .map(|state| (state.as_str(), self.members.iter().filter(|member| member.state == state).count()))
     }
 
     fn reason(&self, member: &Member) -> String {
         match (member.state, member.says()) {
-            (State::Alive, Says::CutOff) => format!("{}; it says that it is cut off", member.why),
+            (State::Alive, QuorumStatus::CutOff) => format!("{}; it says that it is cut off", member.why),
             _ => member.why.clone(),
         }
     }
 
-    fn path(&self, at: usize, now: Millis) -> Path {
+    fn path(&self, at: usize, now: Millis) -> Reachability {
         let member = &self.members[at];
         let direct_ms = self.set.direct_ms();
         let (heard, fresh) = (self.hears(at, now), member.silent(now) < 2.0 * self.set.suspect_ms());
@@ -108,10 +108,10 @@
                 && now - self.born - f64::from(answer.beat) * super::quorum::BEAT_MS < 2.0 * direct_ms
         });
         match (member.row.is_some() && (fresh || heard), heard, answer.is_some()) {
-            (false, ..) => Path::None,
-            (true, true, true) => Path::Direct,
-            (true, false, false) => Path::Relayed,
-            _ => Path::OneWay,
+            (false, ..) => Reachability::None,
+            (true, true, true) => Reachability::Direct,
+            (true, false, false) => Reachability::Relayed,
+            _ => Reachability::OneWay,
         }
     }
 }
--- a/src/fleet/wire.rs
+++ b/src/fleet/wire.rs
@@ -3,7 +3,7 @@
 //! A datagram with anything wrong is refused with its reason and changes nothing. A later version adds fields at the end of
 //! [`Packet`]; what follows the fields known here is passed over, so that versions n and n+1 understand each other.
 
-use super::settings::Id;
+use super::settings::RouterId;
 use serde::{Deserialize, Serialize};
 use twox_hash::XxHash64;
 
@@ -23,7 +23,7 @@
 
 /// What a router says of itself.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub enum Says {
+pub enum QuorumStatus {
     /// It has not had a majority since its start.
     #[default]
     Joining,
@@ -39,7 +39,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Heard {
     /// The other one.
-    pub of: Id,
+    pub of: RouterId,
     /// A short form of its start, see [`tag`]; 0: never heard.
     pub tag: u16,
     /// Its latest beat, by its own clock: what this answers.
@@ -58,7 +58,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Row {
     /// Whose.
-    pub who: Id,
+    pub who: RouterId,
     /// Its start: greater is later.
     pub start: u64,
     /// The term that it is in or wants.
@@ -68,7 +68,7 @@
     /// How long ago the one that sends this has heard it, in ms.
     pub age: u16,
     /// What it says of itself.
-    pub says: Says,
+    pub says: QuorumStatus,
     /// Everybody else.
     pub heard: Vec<Heard>,
 }
@@ -78,7 +78,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GivenUp {
     /// The router that is given up.
-    pub of: Id,
+    pub of: RouterId,
     /// A short form of its start; never 0.
     pub tag: u16,
     /// Its term.
@@ -91,7 +91,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Packet {
     /// Whom it is for.
-    pub to: Id,
+    pub to: RouterId,
     /// The latest start of that one which the sender knows; 0: none.
     pub to_start: u64,
     /// A hash of the sender's roster: what is told by places in it counts only where that is the same.
@@ -104,7 +104,7 @@
 
 /// Why a datagram is refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Refused {
+pub enum RejectReason {
     /// Longer than one can be, or shorter.
     Length,
     /// Of another kind, another version or another fleet.
@@ -152,32 +152,32 @@
 }
 
 /// What a datagram of this fleet holds.
-pub(super) fn open<'a>(kind: [u8; 2], fleet: &str, bytes: &'a [u8]) -> Result<&'a [u8], Refused> {
+pub(super) fn open<'a>(kind: [u8; 2], fleet: &str, bytes: &'a [u8]) -> Result<&'a [u8], RejectReason> {
     if bytes.len() < HEAD || bytes.len() > MAX_DATAGRAM {
-        return Err(Refused::Length);
+        return Err(RejectReason::Length);
     }
     let (head, body) = bytes.split_at(HEAD);
     let version = head[2];
     if head[..2] != kind || version < VERSION || head[3..7] != fleet_tag(fleet) {
-        return Err(Refused::Foreign);
+        return Err(RejectReason::Foreign);
     }
     if head[7..] != XxHash64::oneshot(u64::from(version), body).to_le_bytes() {
-        return Err(Refused::Torn);
+        return Err(RejectReason::Torn);
     }
     Ok(body)
 }
 
 /// Reads a datagram of this fleet.
-pub fn read(fleet: &str, bytes: &[u8]) -> Result<Packet, Refused> {
+pub fn read(fleet: &str, bytes: &[u8]) -> Result<Packet, RejectReason> {
     let body = open(ROWS, fleet, bytes)?;
-    let (packet, _later): (Packet, _) = postcard::take_from_bytes(body).map_err(|_| Refused::Torn)?;
+    let (packet, _later): (Packet, _) = postcard::take_from_bytes(body).map_err(|_| RejectReason::Torn)?;
     let fits = |row: &Row| row.heard.len() <= MOST_ROWS;
     if packet.rows.is_empty()
         || packet.rows.len() > MOST_ROWS
         || packet.given_up.len() > MOST_ROWS
         || !packet.rows.iter().all(fits)
     {
-        return Err(Refused::Torn);
+        return Err(RejectReason::Torn);
     }
     Ok(packet)
 }
--- a/src/fleet/wire/tests.rs
+++ b/src/fleet/wire/tests.rs
@@ -4,7 +4,7 @@
 
 fn row(who: &str, others: usize) -> Row {
     let heard = |n: usize| Heard {
-        of: Id::of(&n.to_string()),
+        of: RouterId::of(&n.to_string()),
         tag: u16::MAX,
         beat: 0x0fff_ffff,
         refused: 127,
@@ -14,21 +14,22 @@
     };
     let (start, term, beat) = (1_800_000_000_000, 100, 0x0fff_ffff);
     let heard = (0..others).map(heard).collect();
-    Row { who: Id::of(who), start, term, beat, age: 900, says: Says::Majority, heard }
+    Row { who: RouterId::of(who), start, term, beat, age: 900, says: QuorumStatus::Majority, heard }
 }
 
 #[test]
 fn a_datagram_is_read_whole_or_refused_with_its_reason() {
-    let given_up = vec![GivenUp { of: Id::of("d"), tag: 9, term: 2, by: 5 }];
-    let mut packet = Packet { to: Id::of("b"), to_start: 7, roster: 1, rows: vec![row("a", 3)], given_up };
+    let given_up = vec![GivenUp { of: RouterId::of("d"), tag: 9, term: 2, by: 5 }];
+    let mut packet =
+        Packet { to: RouterId::of("b"), to_start: 7, roster: 1, rows: vec![row("a", 3)], given_up };
     let (bytes, went) = write("north", packet.clone(), [row("c", 3)].into_iter());
     packet.rows.push(row("c", 3));
     assert_eq!(went, 1);
     assert_eq!(read("north", &bytes), Ok(packet.clone()));
-    assert_eq!(read("south", &bytes), Err(Refused::Foreign));
-    assert_eq!(read("north", &[0; 1201]), Err(Refused::Length));
-    assert_eq!(read("north", b"{\"hello\":\"there, foreign one\"}"), Err(Refused::Foreign));
-    assert!((HEAD..bytes.len()).all(|at| read("north", &bytes[..at]) == Err(Refused::Torn)));
+    assert_eq!(read("south", &bytes), Err(RejectReason::Foreign));
+    assert_eq!(read("north", &[0; 1201]), Err(RejectReason::Length));
+    assert_eq!(read("north", b"{\"hello\":\"there, foreign one\"}"), Err(RejectReason::Foreign));
+    assert!((HEAD..bytes.len()).all(|at| read("north", &bytes[..at]) == Err(RejectReason::Torn)));
     for at in 0..bytes.len() {
         let mut spoilt = bytes.clone();
         spoilt[at] ^= 16;
@@ -45,9 +46,10 @@
 fn the_largest_fleet_fits_a_datagram_and_rows_without_room_are_left_out() {
     let most = ROWS_UPTO - 1;
     let packet = |others| {
-        let given_up = vec![GivenUp { of: Id::of("d"), tag: u16::MAX, term: u32::MAX, by: u64::MAX }; 3];
+        let given_up =
+            vec![GivenUp { of: RouterId::of("d"), tag: u16::MAX, term: u32::MAX, by: u64::MAX }; 3];
         Packet {
-            to: Id::of("b"),
+            to: RouterId::of("b"),
             to_start: u64::MAX,
             roster: u32::MAX,
             rows: vec![row("a", others)],
--- a/src/operator/fleet.rs
+++ b/src/operator/fleet.rs
@@ -1,7 +1,7 @@
 //! The section `(fleet …)`.
 
 use super::form::{Node, Reader};
-use crate::fleet::settings::{Id, PeerAt, Settings, MAX_NAME, MAX_ROUTERS};
+use crate::fleet::settings::{PeerAddress, RouterId, Settings, MAX_NAME_BYTES, MAX_ROUTERS};
 use std::net::SocketAddr;
 
 const WORDS: [&str; 5] = ["name", "listen", "peer", "period", "suspicion"];
@@ -80,8 +80,8 @@
 
 fn named(reader: &mut Reader, node: &Node) -> Option<String> {
     let text = reader.text(node)?;
-    if text.len() > MAX_NAME || text.contains(char::is_whitespace) {
-        reader.fault(node.at, format!("a name of {MAX_NAME} bytes at most, without blanks, is wanted"));
+    if text.len() > MAX_NAME_BYTES || text.contains(char::is_whitespace) {
+        reader.fault(node.at, format!("a name of {MAX_NAME_BYTES} bytes at most, without blanks, is wanted"));
     }
     Some(text.to_owned())
 }
@@ -94,7 +94,7 @@
     address
 }
 
-fn peer_at(reader: &mut Reader, part: &Node, rest: &[Node], peers: &mut Vec<PeerAt>) {
+fn peer_at(reader: &mut Reader, part: &Node, rest: &[Node], peers: &mut Vec<PeerAddress>) {
     let Some([name, at]) = reader.exactly(part.at, rest) else { return };
     let (Some(name_text), Some(address)) = (named(reader, name), address(reader, at)) else { return };
     if peers.iter().any(|peer| peer.name == name_text) {
@@ -103,10 +103,10 @@
     if let Some(other) = peers.iter().find(|peer| peer.address == address) {
         return reader.fault(at.at, format!("peers {name_text} and {} have one address", other.name));
     }
-    if let Some(other) = peers.iter().find(|peer| Id::of(&peer.name) == Id::of(&name_text)) {
+    if let Some(other) = peers.iter().find(|peer| RouterId::of(&peer.name) == RouterId::of(&name_text)) {
         let why =
             format!("datagrams can't tell {name_text} from {}: one of them needs another name", other.name);
         return reader.fault(name.at, why);
     }
-    peers.push(PeerAt { name: name_text, address });
+    peers.push(PeerAddress { name: name_text, address });
 }
--- a/src/runtime/fleet.rs
+++ b/src/runtime/fleet.rs
@@ -104,7 +104,7 @@
 
     /// In how long something is due, in ms.
     pub(super) fn due_in(&self) -> Option<Millis> {
-        let due = self.speaks.as_ref().map(|speaks| speaks.fleet.next_due()).or(self.bind_at)?;
+        let due = self.speaks.as_ref().map(|speaks| speaks.fleet.next_deadline()).or(self.bind_at)?;
         Some(due - boot_ms())
     }
 
@@ -118,9 +118,9 @@
         let fleet = &self.speaks.as_ref()?.fleet;
         let counts = fleet.counts();
         Some(crate::ops::FleetFigures {
-            standing: fleet.standing(boot_ms()).0.word(),
-            states: fleet.tally().to_vec(),
-            datagrams: [counts.sent, counts.taken, counts.refused.values().sum(), self.unsent],
+            standing: fleet.quorum_status(boot_ms()).0.as_str(),
+            states: fleet.count_by_state().to_vec(),
+            datagrams: [counts.sent, counts.accepted, counts.rejected.values().sum(), self.unsent],
         })
     }
 
@@ -130,7 +130,7 @@
         for _ in 0..MOST_A_TURN {
             match socket.recv(buffer) {
                 // A datagram that is refused is counted there, and that is all it does.
-                Ok(bytes) => drop(fleet.heard(boot_ms(), &buffer[..bytes])),
+                Ok(bytes) => drop(fleet.receive(boot_ms(), &buffer[..bytes])),
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
                 Err(_) => return false,
             }
@@ -141,19 +141,19 @@
     fn carry_out(&mut self) {
         let Some(Speaks { fleet, socket, .. }) = &mut self.speaks else { return };
         let at = boot_ms();
-        for effect in fleet.effects() {
+        for effect in fleet.take_effects() {
             match effect {
                 Effect::Send { to, bytes } => self.unsent += u64::from(socket.send_to(&bytes, to).is_err()),
-                Effect::Standing { says, term, ago_ms, heard_by: (by, of) } => {
-                    let (word, since) = (says.word(), at - ago_ms);
+                Effect::QuorumChanged { status: says, term, ago_ms, heard_by: (by, of) } => {
+                    let (word, since) = (says.as_str(), at - ago_ms);
                     say!(always; { standing = word, term } "fleet: {word} in term {term} since {since:.1}, at {at:.1}; {by} of {of} answer");
                 }
-                Effect::Changed { name, start, term, states: (_, state), why } => {
-                    let word = state.word();
+                Effect::MemberChanged { name, start, term, states: (_, state), why } => {
+                    let word = state.as_str();
                     say!(always; { router = %name, state = word } "fleet: {name} is {word} at {at:.1} (start {start}, term {term}): {why}");
                 }
                 Effect::Stalled(gap) => say!("fleet: this process stood still for {gap:.0} ms until {at:.0}"),
-                Effect::Renamed(start) => {
+                Effect::StartRaised(start) => {
                     say!("fleet: another process went by this name; this one's start is {start} from now on");
                 }
             }
@@ -193,12 +193,12 @@
                 }
             }
         }
-        if seat.speaks.as_ref().is_some_and(|speaks| speaks.fleet.next_due() <= now) {
+        if seat.speaks.as_ref().is_some_and(|speaks| speaks.fleet.next_deadline() <= now) {
             // What has come before this turn is known before anybody is judged.
             self.serve_fleet();
             let Some(seat) = &mut self.seat else { return };
             if let Some(speaks) = &mut seat.speaks {
-                speaks.fleet.turn(boot_ms());
+                speaks.fleet.tick(boot_ms());
             }
             seat.carry_out();
         }
--- a/tests/fleet_model.rs
+++ b/tests/fleet_model.rs
@@ -7,9 +7,9 @@
 
 use frostturn::fleet::epochs;
 use frostturn::fleet::epochs::wire::Kind;
-use frostturn::fleet::settings::DRIFT;
+use frostturn::fleet::settings::MAX_CLOCK_DRIFT;
 use frostturn::fleet::wire;
-use frostturn::fleet::{Effect, Fleet, PeerAt, Says, Settings, State};
+use frostturn::fleet::{Effect, Fleet, PeerAddress, QuorumStatus, Settings, State};
 use stateright::{Checker, HasDiscoveries, Model, Property};
 use std::hash::{Hash, Hasher};
 
@@ -139,7 +139,7 @@
     let mut set = Settings::new("model", at(me));
     set.peers = (0..ROUTERS)
         .filter(|one| *one != me)
-        .map(|one| PeerAt { name: format!("n{one}"), address: at(one) })
+        .map(|one| PeerAddress { name: format!("n{one}"), address: at(one) })
         .collect();
     (set.period_ms, set.suspicion_ms) = (1000.0, [200.0, 200.0]);
     if rolls {
@@ -155,9 +155,9 @@
         let slow = match (self.flaw, self.rolls) {
             (Flaw::Drift, false) => 0.5,
             (Flaw::Drift, true) => 0.75,
-            _ => DRIFT / 2.0,
+            _ => MAX_CLOCK_DRIFT / 2.0,
         };
-        let rate = [1.0 - slow, 1.0 + DRIFT / 2.0, 1.0][one];
+        let rate = [1.0 - slow, 1.0 + MAX_CLOCK_DRIFT / 2.0, 1.0][one];
         steps as f64 * STEP_MS * rate
     }
 
@@ -211,14 +211,14 @@
         }
         let now = self.clock(to, world.steps);
         if let Some(fleet) = &mut world.fleets[to] {
-            let _ = fleet.heard(now, &bytes);
+            let _ = fleet.receive(now, &bytes);
         }
         self.carry_out(world, to);
     }
 
     /// What a router has to send and to tell.
     fn carry_out(&self, world: &mut World, from: usize) {
-        let effects = world.fleets[from].as_mut().map_or(Vec::new(), Fleet::effects);
+        let effects = world.fleets[from].as_mut().map_or(Vec::new(), Fleet::take_effects);
         for effect in effects {
             match effect {
                 Effect::Send { to, bytes } => {
@@ -229,7 +229,7 @@
                         Mode::Holds => world.held.push((to, bytes)),
                     }
                 }
-                Effect::Changed { name, start, term, states: (_, State::Gone), .. } => {
+                Effect::MemberChanged { name, start, term, states: (_, State::Gone), .. } => {
                     let one = name[1..].parse().expect("a number");
                     world.called.push(Called { one, start, term, step: world.steps });
                 }
@@ -244,8 +244,8 @@
     fn look(&self, world: &mut World) {
         let stands = |called: &Called| {
             let fleet = world.fleets[called.one].as_ref().filter(|fleet| fleet.start() == called.start);
-            let stands = fleet.map(|fleet| fleet.standing(self.clock(called.one, world.steps)));
-            matches!(stands, Some((Says::Majority, term)) if term <= called.term)
+            let stands = fleet.map(|fleet| fleet.quorum_status(self.clock(called.one, world.steps)));
+            matches!(stands, Some((QuorumStatus::Majority, term)) if term <= called.term)
         };
         world.stood |= world.called.iter().any(stands);
     }
@@ -258,7 +258,7 @@
             }
             let now = self.clock(one, world.steps);
             if let Some(fleet) = &mut world.fleets[one] {
-                fleet.turn(now);
+                fleet.tick(now);
             }
             self.carry_out(world, one);
         }
@@ -286,10 +286,10 @@
         let calm = if self.rolls { CALM_ROLLS } else { CALM };
         (0..calm).for_each(|_| self.pass(&mut world));
         let stands = |one: usize| {
-            world.fleets[one].as_ref().map(|fleet| fleet.standing(self.clock(one, world.steps)).0)
+            world.fleets[one].as_ref().map(|fleet| fleet.quorum_status(self.clock(one, world.steps)).0)
         };
         assert!(
-            (0..ROUTERS).all(|one| stands(one) == Some(Says::Majority)),
+            (0..ROUTERS).all(|one| stands(one) == Some(QuorumStatus::Majority)),
             "all stand after {calm} calm steps"
         );
         vec![world]
@@ -352,7 +352,7 @@
                 "a new start is never killed by words about the old",
                 |model: &Self, world: &World| {
                     // A start must have been silent for a while since it began, by the fastest clock.
-                    let least = settings(0, model.rolls).refuse_ms() * (1.0 - DRIFT);
+                    let least = settings(0, model.rolls).refuse_ms() * (1.0 - MAX_CLOCK_DRIFT);
                     world.called.iter().filter(|called| called.one == 0).all(|called| {
                         let born = called.start.checked_sub(1).map_or(0, |born| born as usize);
                         (called.step - born) as f64 * STEP_MS >= least
@@ -365,7 +365,7 @@
                     let fleet =
                         world.fleets[called.one].as_ref().filter(|fleet| fleet.start() == called.start);
                     fleet.is_some_and(|fleet| {
-                        matches!(fleet.standing(model.clock(called.one, world.steps)), (Says::Majority, term) if term > called.term)
+                        matches!(fleet.quorum_status(model.clock(called.one, world.steps)), (QuorumStatus::Majority, term) if term > called.term)
                     })
                 };
                 world.called.iter().any(again)
