--- a/src/bytes.rs
+++ b/src/bytes.rs
@@ -5,12 +5,12 @@
 
 /// Bytes in the order in which they came.
 #[derive(Debug, Default)]
-pub struct Bytes {
+pub struct ReadBuffer {
     bytes: Vec<u8>,
     at: usize,
 }
 
-impl Bytes {
+impl ReadBuffer {
     /// Takes bytes in, and lets go of those that were read.
     pub fn feed(&mut self, bytes: &[u8]) {
         self.bytes.drain(..std::mem::take(&mut self.at));
@@ -18,7 +18,7 @@
     }
 
     /// What is not yet read.
-    pub fn rest(&self) -> &[u8] {
+    pub fn unread(&self) -> &[u8] {
         &self.bytes[self.at..]
     }
 
--- a/src/cli.rs
+++ b/src/cli.rs
@@ -6,8 +6,8 @@
 use crate::config::{Config, Sources};
 use crate::fleet::Fleet;
 use crate::log::{Format, Level};
+use crate::log_line;
 use crate::operator::{self, Operator};
-use crate::say;
 use clap::{CommandFactory, Parser, Subcommand, ValueEnum};
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -168,7 +168,7 @@
     match crate::runtime::run(sources) {
         Ok(()) => ExitCode::SUCCESS,
         Err(reason) => {
-            say!(always; "cannot start: {reason}");
+            log_line!(always; "cannot start: {reason}");
             ExitCode::FAILURE
         }
     }
--- a/src/fastcgi.rs
+++ b/src/fastcgi.rs
@@ -1,6 +1,6 @@
 //! The FastCGI 1.0 codec: bytes to records and back. Pure, incremental, bounded by the record's length field.
 
-use crate::bytes::Bytes;
+use crate::bytes::ReadBuffer;
 
 /// Kinds of records.
 pub mod kind {
@@ -61,7 +61,7 @@
 /// Turns bytes into records, wherever they are split.
 #[derive(Debug, Default)]
 pub struct Decoder {
-    bytes: Bytes,
+    bytes: ReadBuffer,
 }
 
 impl Decoder {
@@ -72,12 +72,12 @@
 
     /// Bytes of a record that isn't whole yet.
     pub fn pending(&self) -> usize {
-        self.bytes.rest().len()
+        self.bytes.unread().len()
     }
 
     /// The next whole record.
     pub fn next_record(&mut self) -> Result<Option<Record>, Fault> {
-        let rest = self.bytes.rest();
+        let rest = self.bytes.unread();
         let Some((header, rest)) = rest.split_at_checked(HEADER) else { return Ok(None) };
         if header[0] != 1 {
             return Err(Fault::Version(header[0]));
--- a/src/handover/store.rs
+++ b/src/handover/store.rs
@@ -13,7 +13,7 @@
 use super::{Now, State, EVERY_MS};
 use crate::api::Millis;
 use crate::clock::BootTime;
-use crate::say;
+use crate::log_line;
 use crate::service::TooMany;
 use std::collections::BTreeMap;
 use std::io;
@@ -194,7 +194,7 @@
                 Looked::Changed
             }
             Err(why) => {
-                say!("what another process has saved is not taken: {why}");
+                log_line!("what another process has saved is not taken: {why}");
                 self.owes |= self.knowledge == Knowledge::All;
                 if self.owes {
                     self.save_at = now.boot;
@@ -216,7 +216,7 @@
     pub fn upkeep(&mut self, now: Now, ends: bool, listed: impl Fn(&str) -> bool) {
         let looked = self.look(now);
         if let Looked::Unread(e) = &looked {
-            say!("what another process has saved can't be read: {e}");
+            log_line!("what another process has saved can't be read: {e}");
         }
         self.conclude();
         let due = self.owes || self.save_at <= now.boot || self.said_end != ends;
@@ -238,7 +238,7 @@
             Ok(()) => self.said_end = ends,
             Err(Unchanged::Unsaved(e)) => {
                 self.save_at = BootTime(now.boot.0 + AGAIN_MS);
-                say!("what the next process must know can't be saved: {e}");
+                log_line!("what the next process must know can't be saved: {e}");
             }
             Err(Unchanged::TooMany(_) | Unchanged::Unknowing) => {}
         }
@@ -294,7 +294,7 @@
         if sync == Sync::Awaited {
             if let Err(e) = self.folder.sync_folder() {
                 // It is there for every process; only the machine's own end could lose it, and nobody is left then.
-                say!("that what was saved reaches the disk can't be told: {e}");
+                log_line!("that what was saved reaches the disk can't be told: {e}");
             }
         }
         (self.seen, self.state) = (Some(XxHash64::oneshot(0, &bytes)), state);
--- a/src/log.rs
+++ b/src/log.rs
@@ -53,7 +53,7 @@
     }
 }
 
-/// A kind of line: its limiter on the process's clock; used by [`say!`](crate::say).
+/// A kind of line: its limiter on the process's clock; used by [`log_line!`](crate::log_line).
 #[derive(Debug, Default)]
 pub struct Kind(Mutex<Limiter>);
 
@@ -72,9 +72,9 @@
 }
 
 /// Writes one line, if the rate of its kind allows it; `always;` first writes it in any case, for lines that
-/// come once or were asked for. Fields go before the words: `say!({ machine = %name } "{name} is back")`.
+/// come once or were asked for. Fields go before the words: `log_line!({ machine = %name } "{name} is back")`.
 #[macro_export]
-macro_rules! say {
+macro_rules! log_line {
     (always; { $($field:tt)* } $($part:tt)*) => {
         $crate::log::tracing::info!($($field)*, $($part)*)
     };
--- a/src/resp.rs
+++ b/src/resp.rs
@@ -1,6 +1,6 @@
 //! The RESP codec: arrays of bulk strings. Pure, incremental and bounded.
 
-use crate::bytes::Bytes;
+use crate::bytes::ReadBuffer;
 
 /// Parts of one frame, at most.
 const MAX_PARTS: usize = 8;
@@ -16,7 +16,7 @@
 /// Turns bytes into frames, wherever they are split.
 #[derive(Debug, Default)]
 pub struct Decoder {
-    bytes: Bytes,
+    bytes: ReadBuffer,
     /// Parts of the frame that are still to come.
     to_come: usize,
     /// Length of the part that comes now.
@@ -32,12 +32,12 @@
 
     /// Whether a frame has begun and isn't whole yet.
     pub fn midway(&self) -> bool {
-        self.to_come > 0 || !self.bytes.rest().is_empty()
+        self.to_come > 0 || !self.bytes.unread().is_empty()
     }
 
     /// A line's number, once the line is whole.
     fn line(&mut self, mark: u8, most: usize) -> Result<Option<usize>, Fault> {
-        let rest = self.bytes.rest();
+        let rest = self.bytes.unread();
         let Some(end) = rest.iter().take(MAX_LINE).position(|byte| *byte == b'\n') else {
             return if rest.len() >= MAX_LINE { Err(Fault("a length is too long")) } else { Ok(None) };
         };
@@ -53,7 +53,7 @@
     pub fn next_frame(&mut self) -> Result<Option<Vec<Vec<u8>>>, Fault> {
         loop {
             if let Some(length) = self.part {
-                let Some((part, rest)) = self.bytes.rest().split_at_checked(length) else {
+                let Some((part, rest)) = self.bytes.unread().split_at_checked(length) else {
                     return Ok(None);
                 };
                 let Some(end) = rest.first_chunk::<2>() else { return Ok(None) };
--- a/src/runtime/board.rs
+++ b/src/runtime/board.rs
@@ -3,8 +3,8 @@
 use super::socket::{dial, Io};
 use super::{Runtime, Source};
 use crate::clock::UnixTime;
+use crate::log_line;
 use crate::reducer::Input;
-use crate::say;
 use std::rc::Rc;
 
 impl Runtime {
@@ -55,7 +55,7 @@
                     let inputs = news.notices.into_iter().map(|notice| Input::Notice { notice, unix });
                     self.inbox.extend(inputs);
                     for doubt in &news.doubts {
-                        say!("an event of the board can't be read, and is taken as narrowly as can be: {doubt}");
+                        log_line!("an event of the board can't be read, and is taken as narrowly as can be: {doubt}");
                     }
                     news.stray
                 }
@@ -65,7 +65,7 @@
             if stray {
                 // It would be taken for the answer to the next poll.
                 self.reducer.counters.watch_faults += 1;
-                say!("the board says more than it was asked for: its connection ends");
+                log_line!("the board says more than it was asked for: its connection ends");
                 return self.drop_board();
             }
             if eof {
@@ -97,7 +97,7 @@
     pub(super) fn board_failed(&mut self, why: &str) {
         self.drop_board();
         self.reducer.counters.watch_faults += 1;
-        say!("the board's poll failed: {why}");
+        log_line!("the board's poll failed: {why}");
         let now = self.now();
         self.watch.failed(now);
     }
--- a/src/runtime/clients.rs
+++ b/src/runtime/clients.rs
@@ -7,7 +7,7 @@
 use crate::front::{self, Conn, Standing};
 use crate::reasons::{ClientClose, Reason as _, Violation};
 use crate::reducer::{Client, Input};
-use crate::{say, trace_event};
+use crate::{log_line, trace_event};
 use rustix::io::Errno;
 use socket2::Socket;
 use std::rc::Rc;
@@ -74,7 +74,7 @@
                     let set = stream.set_nonblocking(true).and_then(|()| stream.set_nodelay(true));
 
                     if let Err(e) = set {
-                        say!("an option of a client's connection can't be set: {e}");
+                        log_line!("an option of a client's connection can't be set: {e}");
                     }
                     let sock = self.watch(Rc::new(Socket::from(stream)), Source::Front(client), true);
                     let conn = Conn::new(self.now()).patient(self.reducer.longest_ms());
@@ -89,7 +89,7 @@
                     // What has become of a connection before it was accepted (accept(2)): the next one may be well.
                     Verdict::Peer | Verdict::Unreachable => faults += 1,
                     Verdict::Shortage => {
-                        say!("cannot accept: {e}");
+                        log_line!("cannot accept: {e}");
                         if Errno::from_io_error(&e) == Some(Errno::MFILE) {
                             self.shed_front(); // Of this process's own descriptors one can be had.
                         }
@@ -212,7 +212,7 @@
             self.inbox.extend(heard.into_iter().map(|heard| heard_input(key, heard)));
             if let Some(fault) = fault {
                 self.reducer.counters.client_faults += 1;
-                say!("a client's record can't be read: {fault:?}");
+                log_line!("a client's record can't be read: {fault:?}");
                 self.finish_front(key, ClientClose::Unreadable);
                 return None;
             }
@@ -227,7 +227,7 @@
         let most = self.fronts.iter().max_by_key(|(_, (_, conn))| conn.holding());
         let Some(key) = most.map(|(key, _)| *key) else { return };
         self.reducer.counters.client_faults += 1;
-        say!("no memory for what a client sends");
+        log_line!("no memory for what a client sends");
         self.finish_front(key, ClientClose::NoMemory);
     }
 
--- a/src/runtime/drains.rs
+++ b/src/runtime/drains.rs
@@ -11,7 +11,7 @@
 use crate::reasons::{ClientClose, Violation};
 use crate::reducer::Input;
 use crate::service::{Intake, Service, RECENT_MS};
-use crate::{say, trace_event};
+use crate::{log_line, trace_event};
 use std::fmt;
 use std::net::Shutdown;
 
@@ -124,7 +124,7 @@
         let (from, to) = (before.key(), after.key());
         let (clients, requests) = (self.fronts.len(), self.reducer.open());
         trace_event!(self.now(), "service_changed", from, to, clients, requests);
-        say!(always; "service: {from} -> {to}; clients={clients} requests={requests}");
+        log_line!(always; "service: {from} -> {to}; clients={clients} requests={requests}");
         self.drain_told_at = after.evacuated().map(|since| since + TELL_MS);
     }
 
@@ -135,7 +135,7 @@
             return;
         }
         let (clients, requests, ms) = (self.fronts.len(), self.reducer.open(), now - since);
-        say!("evacuating for {ms:.0} ms: clients={clients} requests={requests}");
+        log_line!("evacuating for {ms:.0} ms: clients={clients} requests={requests}");
         self.drain_told_at = (clients > 0).then_some(now + TELL_MS);
     }
 
@@ -156,6 +156,6 @@
     /// Counts and tells of a rule that was broken.
     pub(super) fn violated(&mut self, rule: Violation, why: fmt::Arguments<'_>) {
         self.reducer.counters.reasons.violations.add(rule);
-        say!("violation: {rule}: {why}");
+        log_line!("violation: {rule}: {why}");
     }
 }
--- a/src/runtime/fleet.rs
+++ b/src/runtime/fleet.rs
@@ -7,7 +7,7 @@
 use crate::api::Millis;
 use crate::clock::{BootTime, UnixTime};
 use crate::fleet::{Effect, Fleet, Settings, View};
-use crate::say;
+use crate::log_line;
 use calloop::{Interest, LoopHandle, RegistrationToken};
 use socket2::{Domain, Protocol, Socket, Type};
 use std::io::{self, ErrorKind};
@@ -67,9 +67,9 @@
         let mut seat = Self { settings, name: name.to_owned(), seed, speaks: None, bind_at: None, unsent: 0 };
         let (at, fleet) = (seat.settings.listen, seat.settings.fleet.clone());
         match super::patiently(|| seat.try_bind(handle)) {
-            Ok(true) => say!("fleet {fleet}: {name} hears the others at {at}, start {}", seat.start()),
+            Ok(true) => log_line!("fleet {fleet}: {name} hears the others at {at}, start {}", seat.start()),
             Ok(false) => {
-                say!("fleet {fleet}: another process has {at}; this one speaks once that has let go")
+                log_line!("fleet {fleet}: another process has {at}; this one speaks once that has let go")
             }
             Err(e) => return Err(format!("hear the fleet at {at}: {e}")),
         }
@@ -146,15 +146,19 @@
                 Effect::Send { to, bytes } => self.unsent += u64::from(socket.send_to(&bytes, to).is_err()),
                 Effect::Standing { says, term, ago_ms, heard_by: (by, of) } => {
                     let (word, since) = (says.word(), at - ago_ms);
-                    say!(always; { standing = word, term } "fleet: {word} in term {term} since {since:.1}, at {at:.1}; {by} of {of} answer");
+                    log_line!(always; { standing = word, term } "fleet: {word} in term {term} since {since:.1}, at {at:.1}; {by} of {of} answer");
                 }
                 Effect::Changed { name, start, term, states: (_, state), why } => {
                     let word = state.word();
-                    say!(always; { router = %name, state = word } "fleet: {name} is {word} at {at:.1} (start {start}, term {term}): {why}");
+                    log_line!(always; { router = %name, state = word } "fleet: {name} is {word} at {at:.1} (start {start}, term {term}): {why}");
+                }
+                Effect::Stalled(gap) => {
+                    log_line!("fleet: this process stood still for {gap:.0} ms until {at:.0}")
                 }
-                Effect::Stalled(gap) => say!("fleet: this process stood still for {gap:.0} ms until {at:.0}"),
                 Effect::Renamed(start) => {
-                    say!("fleet: another process went by this name; this one's start is {start} from now on");
+                    log_line!(
+                        "fleet: another process went by this name; this one's start is {start} from now on"
+                    );
                 }
             }
         }
@@ -185,11 +189,11 @@
         if seat.bind_at.is_some_and(|at| at <= now) {
             let handle = self.handle.clone();
             match seat.try_bind(&handle) {
-                Ok(true) => say!("fleet: this process speaks now, start {}", seat.start()),
+                Ok(true) => log_line!("fleet: this process speaks now, start {}", seat.start()),
                 Ok(false) => {}
                 Err(e) => {
                     seat.bind_at = Some(now + 20.0 * BIND_MS);
-                    say!("fleet: the others can't be heard: {e}");
+                    log_line!("fleet: the others can't be heard: {e}");
                 }
             }
         }
--- a/src/runtime/handover.rs
+++ b/src/runtime/handover.rs
@@ -6,9 +6,9 @@
 use crate::clock::{boot_id, BootTime};
 use crate::handover::store::{Folder, Store, Unchanged};
 use crate::handover::{Now, MAX_FILE};
+use crate::log_line;
 use crate::ops::Verdict;
 use crate::reducer::Input;
-use crate::say;
 use std::fs::{self, File, TryLockError};
 use std::io::{self, ErrorKind, Read, Write};
 use std::path::{Path, PathBuf};
@@ -229,11 +229,11 @@
             Ok(()) => Ok(handover.store.state().excluded().clone()),
             Err(Unchanged::TooMany(_)) => Err(Verdict::TooMany),
             Err(Unchanged::Unknowing) => {
-                say!("a change of {name} is not made: another process knows what was said before, and its file is spoilt");
+                log_line!("a change of {name} is not made: another process knows what was said before, and its file is spoilt");
                 Err(Verdict::Unsaved)
             }
             Err(Unchanged::Unsaved(e)) => {
-                say!("a change of {name} is not made, as it can't be saved: {e}");
+                log_line!("a change of {name} is not made, as it can't be saved: {e}");
                 Err(Verdict::Unsaved)
             }
         };
@@ -244,7 +244,7 @@
     pub(super) fn leave_state(&mut self) {
         let left = self.handover.as_mut().map(|handover| handover.store.leave(Now::read()));
         if let Some(Err(Unchanged::Unsaved(e))) = left {
-            say!("that this process ends can't be saved: {e}");
+            log_line!("that this process ends can't be saved: {e}");
         }
     }
 }
--- a/src/runtime/machines.rs
+++ b/src/runtime/machines.rs
@@ -8,7 +8,7 @@
 use crate::back::{self, DialEnd, Dialling, Leave, LinkKey, Unsent};
 use crate::reasons::{EndpointClose, Reason as _, Violation};
 use crate::reducer::{AttemptKey, Call, End, Input, Progress};
-use crate::{say, trace_event};
+use crate::{log_line, trace_event};
 use std::io;
 use std::rc::Rc;
 
@@ -27,7 +27,7 @@
             Ok((key, _)) => self.queued(key),
             Err(Unsent::NoRoom) => self.inbox.push(Input::Ended { attempt, end: End::NoRoom }),
             Err(Unsent::NoPath) => {
-                say!({ machine = %member, attempt } "no address of {member} is its own now");
+                log_line!({ machine = %member, attempt } "no address of {member} is its own now");
                 self.inbox.push(Input::Ended { attempt, end: End::Lost(Progress::NotConnected) });
             }
         }
@@ -87,7 +87,7 @@
             DialEnd::Failed(failure) => failure.to_string(),
             DialEnd::Unreachable | DialEnd::NoRoom => error.to_string(),
         };
-        say!({ machine, address = %endpoint, outcome = why } "no connection to {endpoint}: {why}");
+        log_line!({ machine, address = %endpoint, outcome = why } "no connection to {endpoint}: {why}");
         if let Some(left) = self.links.dial_failed(self.now(), key, number, end) {
             say_left(&left);
         }
@@ -186,7 +186,7 @@
                     }
                     back::Heard::Unknown => {
                         counters.answers_unknown += 1;
-                        say!("an answer with an unknown id");
+                        log_line!("an answer with an unknown id");
                         continue;
                     }
                 });
@@ -196,7 +196,7 @@
                     return Some(EndpointClose::WrongName);
                 }
                 self.reducer.counters.endpoint_faults += 1;
-                say!("a machine's answer can't be read: {}", fault.0);
+                log_line!("a machine's answer can't be read: {}", fault.0);
                 return Some(EndpointClose::Unreadable);
             }
         }
@@ -274,7 +274,7 @@
         let endpoint = self.links.endpoint(key).cloned();
         for (_, endpoint) in self.links.dials(key).into_iter().filter(|_| why == EndpointClose::NotUp) {
             self.reducer.counters.dials_failed += 1;
-            say!({ machine, address = %endpoint, outcome = %why } "no connection to {endpoint}: {why}");
+            log_line!({ machine, address = %endpoint, outcome = %why } "no connection to {endpoint}: {why}");
         }
         let blame = match why {
             EndpointClose::PeerClosed | EndpointClose::Broken | EndpointClose::Stalled => {
@@ -299,7 +299,7 @@
         ended.left.iter().for_each(say_left);
         if let Some(endpoint) = endpoint.filter(|_| !ended.lost.is_empty()) {
             let attempts = ended.lost.len();
-            say!({ machine, address = %endpoint, attempts, outcome = %why }
+            log_line!({ machine, address = %endpoint, attempts, outcome = %why }
                 "connection to {endpoint} lost with {attempts} attempts: {why}");
         }
         for (attempt, progress) in ended.lost {
@@ -313,6 +313,6 @@
 
 fn say_left(left: &Leave) {
     let Leave { member, endpoint, why, pause_ms } = left;
-    say!({ machine = %member, address = %endpoint, outcome = %why }
+    log_line!({ machine = %member, address = %endpoint, outcome = %why }
         "{member} is not reached over {endpoint} for {pause_ms:.0} ms: {why}");
 }
--- a/src/runtime/mod.rs
+++ b/src/runtime/mod.rs
@@ -20,12 +20,12 @@
 use crate::config::{Config, Sources};
 use crate::errno;
 use crate::front::Conn;
+use crate::log_line;
 use crate::operator::Operator;
 use crate::ops;
 use crate::ops::control::Place;
 use crate::reasons::{ClientClose, EndpointClose};
 use crate::reducer::{Effect, Input, Reducer, Reply};
-use crate::say;
 use calloop::signals::{Signal, Signals};
 use calloop::{EventLoop, Interest, LoopHandle, Readiness, RegistrationToken};
 pub use plugins::read_program;
@@ -186,7 +186,7 @@
     insert_patiently(&handle, signals, noted).map_err(io("signals"))?;
     // Signals wait from here on: one that comes while the config is read ends nothing halfway.
     let (config, operator) = load_patiently(&sources)?;
-    std::panic::set_hook(Box::new(|panic| say!("{panic}")));
+    std::panic::set_hook(Box::new(|panic| log_line!("{panic}")));
     let start = Instant::now();
     let reducer = Reducer::new(config.settings, config.net.clone(), config.seed, 0.0, UnixTime::now());
     let listener = patiently(|| listen(config.listen)).map_err(io("listen"))?;
@@ -263,13 +263,13 @@
     state.work();
     state.say_ops();
     for remark in &config.remarks {
-        say!(always; "settings: {remark}");
+        log_line!(always; "settings: {remark}");
     }
-    say!("{} listens on {}, the board is at {}", config.name, listens, config.board);
+    log_line!("{} listens on {}, the board is at {}", config.name, listens, config.board);
     while !state.over() {
         let wait = Duration::from_secs_f64((state.wake() - state.now()).clamp(0.0, IDLE_MS) / 1000.0);
         if let Err(e) = events.dispatch(Some(wait), &mut state) {
-            say!("event loop: {e}");
+            log_line!("event loop: {e}");
             std::thread::sleep(SHORTAGE_PAUSE); // What is due is done all the same, but not in a rush.
         }
         state.turn();
@@ -277,7 +277,7 @@
     state.leave_seat(true);
     state.close_rest();
     state.leave_state();
-    say!(always; "{} ends; {}", config.name, state.reducer.counters);
+    log_line!(always; "{} ends; {}", config.name, state.reducer.counters);
     // Its signals stay blocked until the process has ended: the loop would unblock them as it is dropped, and one that
     // is pending then would end the process by its default action, as if it had crashed.
     std::mem::forget(events);
@@ -360,16 +360,16 @@
                 Signal::SIGUSR1 => {
                     let (clients, links) = (self.fronts.len(), self.links.count());
                     let (requests, machines) = (self.reducer.open(), self.reducer.known_machines());
-                    say!(always; "now clients={clients} links={links} requests={requests} machines={machines}");
-                    say!(always; "{}", self.reducer.counters);
+                    log_line!(always; "now clients={clients} links={links} requests={requests} machines={machines}");
+                    log_line!(always; "{}", self.reducer.counters);
                     for (name, counts) in self.reducer.plugins().into_iter().flat_map(|all| all.counts()) {
-                        say!(always; "plug-in {name}: {counts:?}");
+                        log_line!(always; "plug-in {name}: {counts:?}");
                     }
                     self.write_views();
                 }
                 Signal::SIGHUP => self.reload(),
                 _ => {
-                    say!("told to end; {} requests are open", self.reducer.open());
+                    log_line!("told to end; {} requests are open", self.reducer.open());
                     self.inbox.push(Input::Terminate);
                 }
             }
@@ -439,7 +439,7 @@
     fn watch(&mut self, stream: Rc<Socket>, source: Source, ready: bool) -> Sock {
         let token = register(&self.handle, stream.clone(), source, Interest::BOTH);
         if let Err(e) = &token {
-            say!("the event loop has no room for a connection yet: {e}");
+            log_line!("the event loop has no room for a connection yet: {e}");
             self.starve(source);
         }
         Sock { stream, token: token.ok(), readable: ready, writable: ready }
@@ -490,7 +490,7 @@
         }));
         if served.is_err() {
             self.reducer.counters.panics += 1;
-            say!("a panic ends {source:?}");
+            log_line!("a panic ends {source:?}");
             match source {
                 Source::Link(key) => self.link_down(key, EndpointClose::Panic),
                 Source::Dial(key) => self.close_dial(key),
@@ -518,7 +518,7 @@
         let Ok(effects) = step else {
             // The guard timers still answer whatever this leaves open.
             self.reducer.counters.panics += 1;
-            return say!("a panic ends the handling of one input");
+            return log_line!("a panic ends the handling of one input");
         };
         self.tell_service(before);
         effects.into_iter().for_each(|effect| self.carry_out(now, effect));
@@ -562,7 +562,7 @@
                 telemetry.fleet = self.seat.as_ref().and_then(fleet::Seat::figures);
                 self.answer_caller(caller, ops::report(&telemetry));
             }
-            Effect::Log(text) => say!("{text}"),
+            Effect::Log(text) => log_line!("{text}"),
             Effect::StopListening => self.stop_listening(),
             Effect::AuditDrain => self.audit_drain(),
             Effect::Exit { by } => self.exit_by = Some(by),
@@ -577,17 +577,17 @@
             Ok(read) => read,
             Err(fault) if fault.may_pass => {
                 self.reload_at = Some(self.now() + RELOAD_AGAIN_MS);
-                return say!("the new config can't be read yet: {}", fault.words);
+                return log_line!("the new config can't be read yet: {}", fault.words);
             }
             Err(fault) => {
                 self.reducer.counters.reloads_refused += 1;
-                return say!(always; "the new config is not taken, the old one stays: {}", fault.words);
+                return log_line!(always; "the new config is not taken, the old one stays: {}", fault.words);
             }
         };
         self.reducer.counters.reloads += 1;
-        say!(always; "config read anew; the board is at {}", config.board);
+        log_line!(always; "config read anew; the board is at {}", config.board);
         if config.listen != self.listens || config.settings != *self.reducer.settings() {
-            say!(always; "a new listen address or new settings take effect at the next start");
+            log_line!(always; "a new listen address or new settings take effect at the next start");
         }
         self.most_coming = (config.net.memory as f64 * COMING_IN) as usize;
         self.sockets = config.net.sockets;
@@ -597,7 +597,7 @@
         self.record = operator.record;
         self.load_plugins(operator.plugins);
         if operator.fleet.as_ref() != self.seat.as_ref().map(fleet::Seat::settings) {
-            say!(always; "a new (fleet …) takes effect at the next start");
+            log_line!(always; "a new (fleet …) takes effect at the next start");
         }
         if config.board != self.board_at {
             // The old board tells nothing more: what it has begun to say is asked for again, at the new one.
--- a/src/runtime/operators.rs
+++ b/src/runtime/operators.rs
@@ -3,10 +3,10 @@
 use super::socket::{listen, register, Io, Sock};
 use super::{Runtime, Source};
 use crate::errno::{self, Verdict};
+use crate::log_line;
 use crate::ops::control::Place;
 use crate::ops::{self, MAX_CALLERS, WHOLE_MS};
 use crate::reducer::Input;
-use crate::say;
 use calloop::{Interest, LoopHandle};
 use socket2::{Domain, SockAddr, Socket, Type};
 use std::net::Shutdown;
@@ -155,7 +155,7 @@
     /// Where operators call is told, a line a place.
     pub(super) fn say_ops(&self) {
         for place in &self.ops_places {
-            say!("operators call at {}", place.at);
+            log_line!("operators call at {}", place.at);
         }
     }
 }
--- a/src/runtime/plugins.rs
+++ b/src/runtime/plugins.rs
@@ -1,9 +1,9 @@
 //! Plug-ins' files: read, compiled and rehearsed on a thread of their own, so that requests don't wait for it.
 
 use super::Runtime;
+use crate::log_line;
 use crate::plugins::engine::MAX_PROGRAM;
 use crate::plugins::{Loaded, Spec};
-use crate::say;
 use calloop::channel::{self, Event, Sender};
 use std::fmt::Write;
 use std::io::Read;
@@ -85,8 +85,8 @@
         let part = path.with_extension("part");
         let shown = path.display();
         match std::fs::write(&part, text).and_then(|()| std::fs::rename(&part, path)) {
-            Ok(()) => say!(always; "the latest views are in {shown}"),
-            Err(e) => say!(always; "the latest views can't be written to {shown}: {e}"),
+            Ok(()) => log_line!(always; "the latest views are in {shown}"),
+            Err(e) => log_line!(always; "the latest views can't be written to {shown}: {e}"),
         }
     }
 
@@ -101,7 +101,7 @@
             });
             match taken {
                 Ok(_) => self.plugin_ready = Some(sender),
-                Err(e) => say!("plug-ins can't be loaded: {e}"),
+                Err(e) => log_line!("plug-ins can't be loaded: {e}"),
             }
         }
         self.plugin_ready.clone()
@@ -113,11 +113,11 @@
         }
         let now = self.now();
         for (name, why) in &ready.failed {
-            say!(always; { plugin = %name } "plug-in {name} is not taken, an old version stays: {why}");
+            log_line!(always; { plugin = %name } "plug-in {name} is not taken, an old version stays: {why}");
         }
         let names: Vec<&str> = ready.loaded.iter().map(|one| one.spec.name.as_str()).collect();
         if !names.is_empty() {
-            say!(always; "plug-ins taken: {}", names.join(", "));
+            log_line!(always; "plug-ins taken: {}", names.join(", "));
         }
         self.reducer.set_plugins(now, &ready.order, ready.loaded);
     }
--- a/tests/ci.rs
+++ b/tests/ci.rs
@@ -107,7 +107,7 @@
         ("clock", "let now = std::time::Instant::now();"),
         ("unix", "let now = SystemTime::now();"),
         ("file", "use std::fs::File;"),
-        ("log", "say!(\"x\");"),
+        ("log", "log_line!(\"x\");"),
         ("long", &format!("// {}", "x".repeat(120))),
     ] {
         assert!(!layers(test, &format!("//! Decides one thing.\n{line}\n")), "{line}");
--- a/tests/closing.rs
+++ b/tests/closing.rs
@@ -2,13 +2,13 @@
 
 mod rig;
 
-use rig::{pass, until, Client, Endpoint, Event, Router, Site};
+use rig::{sleep_ms, wait_until, Client, Endpoint, Event, Router, RouterSetup};
 
 /// A site whose idle connections end soon: the router closes them after 0.8 of this.
 const IDLE_MS: u64 = 500;
 
-fn idle_site(endpoint: &Endpoint) -> Site {
-    let mut site = Site::new(&[("e-1", endpoint)]);
+fn idle_site(endpoint: &Endpoint) -> RouterSetup {
+    let mut site = RouterSetup::new(&[("e-1", endpoint)]);
     site.limits = r#""MostTries":4,"Cancelling":true,"ConnIdleMs":500.0"#;
     site
 }
@@ -16,8 +16,8 @@
 /// Asks once and has it served; the connection to the endpoint rests then.
 fn warm(router: &Router, endpoint: &Endpoint) -> (Client, usize) {
     let mut client = Client::connect(router);
-    client.ask(1, "page", 0x1000);
-    let asked = endpoint.asked();
+    client.send_request(1, "page", 0x1000);
+    let asked = endpoint.next_request();
     endpoint.serve(&asked);
     assert_eq!(client.status(1), 200);
     (client, asked.conn)
@@ -26,7 +26,7 @@
 /// Waits until a connection has ended on the router's side; whether by a reset.
 fn down(endpoint: &Endpoint, conn: usize) -> bool {
     loop {
-        if let Event::Down(which, reset) = endpoint.next() {
+        if let Event::Disconnected(which, reset) = endpoint.next_event() {
             if which == conn {
                 return reset;
             }
@@ -44,7 +44,7 @@
     for _ in 0..3 {
         endpoint.write(conn, b"*4\r\n$16\r\n0000").expect("it is still read");
     }
-    assert!(router.end().contains("endpoint_faults=0"));
+    assert!(router.terminate().contains("endpoint_faults=0"));
 }
 
 #[test]
@@ -53,75 +53,78 @@
         let endpoint = Endpoint::new();
         let router = Router::start("idlecross", &idle_site(&endpoint));
         let (mut client, conn) = warm(&router, &endpoint);
-        router.hold();
+        router.pause();
         if who != "the router" {
             endpoint.close(conn);
         }
         if who != "the endpoint" {
-            pass(IDLE_MS);
+            sleep_ms(IDLE_MS);
         }
         for request in [2, 3] {
-            client.ask(request, if request == 2 { "swap" } else { "page" }, request.into());
+            client.send_request(request, if request == 2 { "swap" } else { "page" }, request.into());
         }
-        router.go();
+        router.resume();
         for _ in [2, 3] {
-            endpoint.serve(&endpoint.asked());
+            endpoint.serve(&endpoint.next_request());
         }
         assert_eq!((client.status(2), client.status(3)), (200, 200), "{who}");
-        let log = router.end();
+        let log = router.terminate();
         assert!(log.contains("served=3 ") && log.contains("attempt_reset=0 "), "{who}: {log}");
-        assert_eq!(endpoint.ids(), [""; 0], "{who}: none twice");
+        assert_eq!(endpoint.received_request_ids(), [""; 0], "{who}: none twice");
     }
 }
 
 #[test]
 fn an_answer_to_what_was_given_up_is_never_taken_for_that_of_a_later_request() {
     let endpoint = Endpoint::new();
-    let router = Router::start("reused", &Site::new(&[("e-1", &endpoint)]));
+    let router = Router::start("reused", &RouterSetup::new(&[("e-1", &endpoint)]));
     let (mut client, _) = warm(&router, &endpoint);
-    client.ask(2, "page", 7);
-    let first = endpoint.asked();
+    client.send_request(2, "page", 7);
+    let first = endpoint.next_request();
     client.abort(2);
     // The machine is told; then the same id comes again, and both answers are there in one wake, the late one first.
-    until("it is given up", || matches!(endpoint.next(), Event::Frame(_, parts) if parts[0] == "STOP"));
-    client.ask(3, "page", 7);
-    let second = endpoint.asked();
+    wait_until(
+        "it is given up",
+        || matches!(endpoint.next_event(), Event::Frame(_, parts) if parts[0] == "STOP"),
+    );
+    client.send_request(3, "page", 7);
+    let second = endpoint.next_request();
     assert_eq!((first.id.as_str(), first.id == second.id), ("0000000000000007", true));
-    router.hold();
+    router.pause();
     endpoint.reply(&first, "DONE", "tell=cached,version=ab,stamp=1", b"the late one");
     endpoint.reply(&second, "DONE", "tell=cached,version=ab,stamp=1", b"its own");
-    router.go();
+    router.resume();
     assert!(client.answer(3).is_some_and(|answer| answer.ends_with("its own")));
     assert_ne!(first.conn, second.conn, "where the late one can't be taken for it");
-    router.end();
+    router.terminate();
 }
 
 #[test]
 fn a_connection_that_is_up_late_or_never_leaves_its_request_to_another_endpoint() {
     for opens in [true, false] {
-        let (mut late, good) = (Endpoint::late(), Endpoint::new());
-        let mut site = Site::new(&[("e-1", &late), ("e-2", &good)]);
+        let (mut late, good) = (Endpoint::with_full_backlog(), Endpoint::new());
+        let mut site = RouterSetup::new(&[("e-1", &late), ("e-2", &good)]);
         site.limits = r#""MostTries":6,"Cancelling":true,"DialTimeoutMs":300.0"#;
         let router = Router::start("uplate", &site);
         // Whichever endpoint is an object's home, some of these begin at the one that is late.
         let mut client = Client::connect(&router);
         let all = 8;
         for request in 1..=all {
-            let bytes = Client::request(request, "page", request.into(), request.into(), b"");
+            let bytes = Client::request_bytes(request, "page", request.into(), request.into(), b"");
             std::io::Write::write_all(&mut client.stream, &bytes).expect("written");
         }
         for _ in 0..all {
-            good.serve(&good.asked());
+            good.serve(&good.next_request());
         }
         for request in 1..=all {
             assert_eq!(client.status(request), 200);
         }
         if opens {
-            late.open();
+            late.accept_connections();
         }
-        let log = router.end();
+        let log = router.terminate();
         assert!(!log.contains(" dials_failed=0 "), "some were at the late one first: {log}");
-        assert_eq!(late.ids(), [""; 0], "nothing is sent once it is served elsewhere");
+        assert_eq!(late.received_request_ids(), [""; 0], "nothing is sent once it is served elsewhere");
     }
 }
 
@@ -135,22 +138,22 @@
     ];
     for (at, bytes) in bad.iter().enumerate() {
         let endpoint = Endpoint::new();
-        let router = Router::start("badframe", &Site::new(&[("e-1", &endpoint)]));
+        let router = Router::start("badframe", &RouterSetup::new(&[("e-1", &endpoint)]));
         let (mut client, _) = warm(&router, &endpoint);
         // Fragile first: it is never sent again. Then one that may be, and is.
-        client.ask(2, "swap", 2);
-        let swap = endpoint.asked();
+        client.send_request(2, "swap", 2);
+        let swap = endpoint.next_request();
         endpoint.write(swap.conn, bytes).expect("written");
         assert_eq!(client.status(2), 502, "{at}: failed, as it may have run");
-        client.ask(3, "page", 3);
-        let page = endpoint.asked();
+        client.send_request(3, "page", 3);
+        let page = endpoint.next_request();
         assert_eq!(page.id, format!("{:016x}", 3));
         endpoint.write(page.conn, bytes).expect("written");
-        let again = endpoint.asked();
+        let again = endpoint.next_request();
         assert_eq!((again.id.as_str(), again.conn == page.conn), (page.id.as_str(), false));
         endpoint.serve(&again);
         assert_eq!(client.status(3), 200);
-        router.end();
-        assert_eq!(endpoint.ids(), [""; 0], "{at}: the swap went out once");
+        router.terminate();
+        assert_eq!(endpoint.received_request_ids(), [""; 0], "{at}: the swap went out once");
     }
 }
--- a/tests/drain.rs
+++ b/tests/drain.rs
@@ -3,7 +3,7 @@
 mod rig;
 
 use rig::flow::{hold_back, until_closed, Seen, Shape, CROSSES};
-use rig::{call, figure, Client, Endpoint, Router, Site};
+use rig::{counter_in, operator_call, Client, Endpoint, Router, RouterSetup};
 use std::io::{ErrorKind, Read, Write};
 use std::time::{Duration, Instant};
 
@@ -15,8 +15,8 @@
 const SHAPES: [Shape; 2] = [Shape::Overlapping, Shape::InPieces];
 
 /// A site of one endpoint whose router can be called by operators.
-fn called(endpoint: &Endpoint) -> Site {
-    let mut site = Site::new(&[("e-1", endpoint)]);
+fn called(endpoint: &Endpoint) -> RouterSetup {
+    let mut site = RouterSetup::new(&[("e-1", endpoint)]);
     site.options = vec!["--ops".into(), "127.0.0.1:0".into()];
     site
 }
@@ -35,9 +35,9 @@
         let router = Router::start("neverrests", &called(&endpoint));
         let client = Client::connect(&router);
         let holding = hold_back(endpoint, 2);
-        let ops = router.ops();
+        let ops = router.operator_address();
         let evacuated = Instant::now();
-        assert_eq!(call(&ops, "POST", "/api/evacuate", ""), 200);
+        assert_eq!(operator_call(&ops, "POST", "/api/evacuate", ""), 200);
         let seen = until_closed(client, shape, 2900, evacuated + DRAINED_BY);
         let took = seen.ended.expect("read to its end").0 - evacuated;
         assert!(took < DRAINED_BY, "{shape:?}: open after {took:?}");
@@ -45,7 +45,7 @@
         let statuses = seen.statuses_after(evacuated);
         assert!(statuses.iter().filter(|status| **status == 200).count() > 20, "{shape:?}: {statuses:?}");
         assert!(statuses.iter().all(|status| [200, 503].contains(status)), "{shape:?}: {statuses:?}");
-        router.end();
+        router.terminate();
         drop(holding);
     }
 }
@@ -68,9 +68,9 @@
         let end = seen.ended.expect("it ended").0;
         let cut = half.is_some_and(|half| half.begun + CROSSES < end);
         assert!(!cut, "{what}: a request that had begun to come was left without a word: {half:?}");
-        let log = router.ends();
+        let log = router.wait_for_exit();
         assert!(!log.contains("client_closed_process_exit"), "{what}: {log}");
-        assert_eq!(figure(&log, "panics"), 0);
+        assert_eq!(counter_in(&log, "panics"), 0);
         drop(holding);
     }
 }
@@ -87,16 +87,16 @@
     let mut stream = Client::connect(&router).stream;
     stream.set_read_timeout(Some(Duration::from_millis(1))).expect("set");
     let evacuated = Instant::now();
-    assert_eq!(call(&router.ops(), "POST", "/api/evacuate", ""), 200);
+    assert_eq!(operator_call(&router.operator_address(), "POST", "/api/evacuate", ""), 200);
     let (mut asked_at, mut bytes, mut part) = (Vec::new(), Vec::new(), [0; PART]);
     let ended = loop {
         if asked_at.last().is_none_or(|at: &Instant| at.elapsed() > GAP) {
             let number = asked_at.len() as u16 + 1;
-            let request = Client::request(number, "page", u64::from(number), 0xab, b"");
+            let request = Client::request_bytes(number, "page", u64::from(number), 0xab, b"");
             let written = stream.write_all(&request);
             asked_at.extend(written.is_ok().then(Instant::now));
         }
-        if let Some(asked) = endpoint.try_asked() {
+        if let Some(asked) = endpoint.try_next_request() {
             endpoint.reply(&asked, "DONE", "tell=cached,version=ab,stamp=1", &[b'x'; BODY]);
         }
         match stream.read(&mut part) {
@@ -117,5 +117,5 @@
     assert!(bytes.len() > 5 * BODY, "{} bytes", bytes.len());
     // What its client takes to read doesn't count.
     assert!(took > Duration::from_millis(1800) && took < DRAINED_BY * 2, "closed after {took:?}");
-    router.end();
+    router.terminate();
 }
--- a/tests/floods.rs
+++ b/tests/floods.rs
@@ -3,7 +3,7 @@
 mod rig;
 
 use frostturn::fastcgi::{self, kind};
-use rig::{until, Client, Endpoint, Event, Router, Site};
+use rig::{wait_until, Client, Endpoint, Event, Router, RouterSetup};
 use std::io::Write;
 
 /// A request that was begun, with these bytes behind it.
@@ -17,10 +17,10 @@
 #[test]
 fn what_cannot_be_read_costs_its_own_connection_alone() {
     let endpoint = Endpoint::new();
-    let mut site = Site::new(&[("e-1", &endpoint)]);
+    let mut site = RouterSetup::new(&[("e-1", &endpoint)]);
     site.limits = r#""MostTries":1,"Cancelling":true"#;
     let router = Router::start("foreign", &site);
-    let cut = &Client::request(1, "page", 1, 1, b"")[..30];
+    let cut = &Client::request_bytes(1, "page", 1, 1, b"")[..30];
     let twice = [begun(1, 1, &[]), begun(1, 1, &[])].concat();
     let endless: Vec<_> = (0..3).map(|_| (kind::PARAMS, vec![1; 8000])).collect();
     let bad: [(&str, Vec<u8>); 8] = [
@@ -41,32 +41,35 @@
     for (at, (what, bytes)) in (1..).zip(bad) {
         // A request is out on the bad connection as it goes wrong, and another one on a good connection.
         let mut guilty = Client::connect(&router);
-        guilty.ask(2, "page", 100 + u64::from(at));
-        let lost = endpoint.asked();
-        good.ask(at, "page", 200 + u64::from(at));
-        let kept = endpoint.asked();
+        guilty.send_request(2, "page", 100 + u64::from(at));
+        let lost = endpoint.next_request();
+        good.send_request(at, "page", 200 + u64::from(at));
+        let kept = endpoint.next_request();
         guilty.stream.write_all(&bytes).expect("written");
         // The request that came whole before is owed its answer, whatever its client sent behind it.
         assert_eq!(guilty.status(2), 502, "{what}: it may have run");
-        assert!(guilty.closed(), "{what}: half-closed, not reset");
+        assert!(guilty.is_closed(), "{what}: half-closed, not reset");
         // What was out for it is settled by its true progress: it may run, and is called off.
-        until(what, || matches!(endpoint.next(), Event::Frame(_, parts) if parts == ["STOP", &lost.id]));
+        wait_until(
+            what,
+            || matches!(endpoint.next_event(), Event::Frame(_, parts) if parts == ["STOP", &lost.id]),
+        );
         endpoint.serve(&kept);
         assert_eq!(good.status(at), 200, "{what}");
     }
     let mut short = Client::connect(&router);
     short.stream.write_all(cut).expect("written");
     drop(short);
-    let log = router.end();
-    assert_eq!(rig::figure(&log, "client_faults"), faults, "{log}");
-    assert_eq!((rig::figure(&log, "panics"), rig::figure(&log, "failed")), (0, faults));
-    assert_eq!(rig::figure(&log, "aborted"), 0, "each of them has its answer");
+    let log = router.terminate();
+    assert_eq!(rig::counter_in(&log, "client_faults"), faults, "{log}");
+    assert_eq!((rig::counter_in(&log, "panics"), rig::counter_in(&log, "failed")), (0, faults));
+    assert_eq!(rig::counter_in(&log, "aborted"), 0, "each of them has its answer");
 }
 
 #[test]
 fn much_at_once_and_gone_is_forgotten_and_others_are_served_meanwhile() {
     let endpoint = Endpoint::new();
-    let mut site = Site::new(&[("e-1", &endpoint)]);
+    let mut site = RouterSetup::new(&[("e-1", &endpoint)]);
     (site.memory_mb, site.sockets) = (32, 256);
     let router = Router::start("gone", &site);
     let mut good = Client::connect(&router);
@@ -78,7 +81,7 @@
                 // Half of each connection's requests are never whole, with all that a body may have.
                 for request in 1..=20 {
                     let id = u64::from(round) << 32 | at << 16 | u64::from(request);
-                    let whole = Client::request(request, "page", id, id, &[7; 40_000]);
+                    let whole = Client::request_bytes(request, "page", id, id, &[7; 40_000]);
                     bytes.extend_from_slice(&whole[..if request % 2 == 0 { whole.len() } else { 30_000 }]);
                     if request % 2 == 1 {
                         fastcgi::record(&mut bytes, kind::ABORT, request, b"");
@@ -90,9 +93,9 @@
             })
             .collect();
         drop(flood);
-        good.ask(round, "page", u64::from(round));
+        good.send_request(round, "page", u64::from(round));
         loop {
-            let asked = endpoint.asked();
+            let asked = endpoint.next_request();
             if asked.id == format!("{:016x}", round) {
                 endpoint.serve(&asked);
                 break;
@@ -100,18 +103,18 @@
         }
         assert_eq!(good.status(round), 200);
     }
-    until("nothing of it is kept", || router.descriptors() < 40);
-    assert!(router.resident() < 32 << 20, "{}", router.resident());
-    assert_eq!(rig::figure(&router.end(), "panics"), 0);
+    wait_until("nothing of it is kept", || router.open_descriptors() < 40);
+    assert!(router.resident_bytes() < 32 << 20, "{}", router.resident_bytes());
+    assert_eq!(rig::counter_in(&router.terminate(), "panics"), 0);
 }
 
 #[test]
 fn clients_that_finish_nothing_leave_room_for_those_that_do() {
     let endpoint = Endpoint::new();
-    let mut site = Site::new(&[("e-1", &endpoint)]);
+    let mut site = RouterSetup::new(&[("e-1", &endpoint)]);
     site.sockets = 96;
     let router = Router::start("slow", &site);
-    let half = Client::request(1, "page", 1, 1, b"");
+    let half = Client::request_bytes(1, "page", 1, 1, b"");
     // Twice as many as there is room for; some say nothing, some a part of a request.
     let slow: Vec<Client> = (0..120)
         .map(|at| {
@@ -122,21 +125,21 @@
         .collect();
     for at in 1..=20 {
         let mut good = Client::connect(&router);
-        good.ask(1, "page", 100 + at);
-        endpoint.serve(&endpoint.asked());
+        good.send_request(1, "page", 100 + at);
+        endpoint.serve(&endpoint.next_request());
         assert_eq!(good.status(1), 200);
     }
-    assert!(router.descriptors() <= 96, "{}", router.descriptors());
+    assert!(router.open_descriptors() <= 96, "{}", router.open_descriptors());
     drop(slow);
-    assert_eq!(rig::figure(&router.end(), "panics"), 0);
+    assert_eq!(rig::counter_in(&router.terminate(), "panics"), 0);
 }
 
 #[test]
 fn a_body_that_is_too_big_is_failed_at_once_and_the_connection_serves_on() {
     let endpoint = Endpoint::new();
-    let router = Router::start("bigbody", &Site::new(&[("e-1", &endpoint)]));
+    let router = Router::start("bigbody", &RouterSetup::new(&[("e-1", &endpoint)]));
     let mut client = Client::connect(&router);
-    let whole = Client::request(1, "page", 1, 1, b"");
+    let whole = Client::request_bytes(1, "page", 1, 1, b"");
     let head = &whole[..whole.len() - 8];
     client.stream.write_all(head).expect("written");
     let mut part = Vec::new();
@@ -148,23 +151,27 @@
     for _ in 0..20 {
         client.stream.write_all(&part).expect("written");
     }
-    client.ask(2, "page", 2);
-    endpoint.serve(&endpoint.asked());
+    client.send_request(2, "page", 2);
+    endpoint.serve(&endpoint.next_request());
     assert_eq!(client.status(2), 200);
-    router.end();
+    router.terminate();
 }
 
 #[test]
 fn a_request_is_answered_though_what_comes_with_it_in_one_read_cannot_be_read() {
     let endpoint = Endpoint::new();
-    let router = Router::start("onebreath", &Site::new(&[("e-1", &endpoint)]));
+    let router = Router::start("onebreath", &RouterSetup::new(&[("e-1", &endpoint)]));
     for junk in [&b"GET / HTTP/1.1\r\n\r\n"[..], &begun(2, 1, &[(kind::STDIN, vec![1; 9])])] {
         let mut guilty = Client::connect(&router);
-        let both = [&Client::request(1, "page", 1, 1, b""), junk].concat();
+        let both = [&Client::request_bytes(1, "page", 1, 1, b""), junk].concat();
         guilty.stream.write_all(&both).expect("written");
         assert_eq!(guilty.status(1), 502, "failed: nothing more is heard of its client");
-        assert!(guilty.closed(), "half-closed, not reset");
+        assert!(guilty.is_closed(), "half-closed, not reset");
     }
-    assert_eq!(rig::figure(&router.end(), "client_faults"), 2);
-    assert_eq!(endpoint.ids(), [""; 0], "nothing is sent for a client that is about to be let go of");
+    assert_eq!(rig::counter_in(&router.terminate(), "client_faults"), 2);
+    assert_eq!(
+        endpoint.received_request_ids(),
+        [""; 0],
+        "nothing is sent for a client that is about to be let go of"
+    );
 }
--- a/tests/hot_restart.rs
+++ b/tests/hot_restart.rs
@@ -2,7 +2,7 @@
 
 mod rig;
 
-use rig::{call, until, Client, Endpoint, Router, Site};
+use rig::{operator_call, wait_until, Client, Endpoint, Router, RouterSetup};
 use std::path::{Path, PathBuf};
 
 /// A folder of its own for a test, empty.
@@ -16,7 +16,7 @@
 /// An old process and a new one beside it.
 fn pair(test: &str, endpoint: &Endpoint) -> (Router, Router, PathBuf) {
     let tmp = folder(test);
-    let mut site = Site::new(&[("e-1", endpoint)]);
+    let mut site = RouterSetup::new(&[("e-1", endpoint)]);
     site.tmp = Some(tmp.clone());
     site.options = vec!["--ops".into(), "127.0.0.1:0".into()];
     let old = Router::start(&format!("{test}-old"), &site);
@@ -26,17 +26,17 @@
 }
 
 fn ready(router: &Router) -> u16 {
-    call(&router.ops(), "GET", "/api/ready", "")
+    operator_call(&router.operator_address(), "GET", "/api/ready", "")
 }
 
 /// Whether the only endpoint stays out: also once the file has been looked at again and again.
 fn stays_out(router: &Router) -> bool {
     let stays = (0..10).all(|_| {
-        rig::pass(60);
+        rig::sleep_ms(60);
         ready(router) == 503
     });
     let mut client = Client::connect(router);
-    client.ask(1, "page", 0xfff);
+    client.send_request(1, "page", 0xfff);
     stays && client.status(1) != 200
 }
 
@@ -45,16 +45,16 @@
     let endpoint = Endpoint::new();
     let (old, new, tmp) = pair("ends", &endpoint);
     // The old one is to end, and hasn't heard of the call, as the new one says yes.
-    old.hold();
+    old.pause();
     old.signal("-TERM");
-    assert_eq!(call(&new.ops(), "POST", "/api/exclude", "e-1"), 200);
-    old.go();
-    old.ends();
+    assert_eq!(operator_call(&new.operator_address(), "POST", "/api/exclude", "e-1"), 200);
+    old.resume();
+    old.wait_for_exit();
     assert!(stays_out(&new), "what the old one wrote as it left kept the other's word");
-    assert_eq!(call(&new.ops(), "POST", "/api/include", "e-1"), 200);
+    assert_eq!(operator_call(&new.operator_address(), "POST", "/api/include", "e-1"), 200);
     assert_eq!(ready(&new), 200);
-    new.end();
-    assert!(endpoint.ids().is_empty());
+    new.terminate();
+    assert!(endpoint.received_request_ids().is_empty());
     std::fs::remove_dir_all(tmp).expect("there");
 }
 
@@ -64,18 +64,18 @@
     let (old, new, tmp) = pair("stays", &endpoint);
     let mut waits = Client::connect(&old);
     // Whichever of the two took the client, the one to end is the old one; it still answers calls.
-    waits.ask(1, "page", 1);
-    let held = endpoint.asked();
+    waits.send_request(1, "page", 1);
+    let held = endpoint.next_request();
     old.signal("-TERM");
-    old.waits_for("told to end");
-    assert_eq!(call(&old.ops(), "POST", "/api/exclude", "e-1"), 200);
-    new.hold();
+    old.wait_for_log("told to end");
+    assert_eq!(operator_call(&old.operator_address(), "POST", "/api/exclude", "e-1"), 200);
+    new.pause();
     endpoint.serve(&held);
-    old.ends();
-    new.go();
-    until("the new one heeds it", || ready(&new) == 503);
+    old.wait_for_exit();
+    new.resume();
+    wait_until("the new one heeds it", || ready(&new) == 503);
     assert!(stays_out(&new));
-    new.end();
+    new.terminate();
     std::fs::remove_dir_all(tmp).expect("there");
 }
 
@@ -88,21 +88,21 @@
     // It hangs as it holds the lock: the other says that it can't be saved, and nothing is changed.
     let held = std::fs::File::options().write(true).open(&lock).expect("there");
     held.lock().expect("free");
-    assert_eq!(call(&new.ops(), "POST", "/api/exclude", "e-1"), 500);
+    assert_eq!(operator_call(&new.operator_address(), "POST", "/api/exclude", "e-1"), 500);
     assert_eq!(ready(&new), 200);
     // It is killed there, half a file beside it: the system frees the lock.
-    old.hold();
+    old.pause();
     old.kill();
     drop(held);
     std::fs::write(lock.with_extension("1.part"), b"FTSTATE\x02half").expect("written");
-    assert_eq!(call(&new.ops(), "POST", "/api/exclude", "e-1"), 200);
+    assert_eq!(operator_call(&new.operator_address(), "POST", "/api/exclude", "e-1"), 200);
     assert!(stays_out(&new));
-    assert_eq!(call(&new.ops(), "POST", "/api/include", "e-1"), 200);
+    assert_eq!(operator_call(&new.operator_address(), "POST", "/api/include", "e-1"), 200);
     let mut client = Client::connect(&new);
-    client.ask(1, "page", 1);
-    endpoint.serve(&endpoint.asked());
+    client.send_request(1, "page", 1);
+    endpoint.serve(&endpoint.next_request());
     assert_eq!(client.status(1), 200);
-    new.end();
+    new.terminate();
     std::fs::remove_dir_all(tmp).expect("there");
 }
 
@@ -116,11 +116,11 @@
 fn a_process_that_starts_beside_a_spoilt_file_writes_nothing_over_what_another_knows() {
     let endpoint = Endpoint::new();
     let tmp = folder("spoilt");
-    let mut site = Site::new(&[("e-1", &endpoint)]);
+    let mut site = RouterSetup::new(&[("e-1", &endpoint)]);
     site.tmp = Some(tmp.clone());
     site.options = vec!["--ops".into(), "127.0.0.1:0".into()];
     let old = Router::start("spoilt-old", &site);
-    assert_eq!(call(&old.ops(), "POST", "/api/exclude", "e-1"), 200);
+    assert_eq!(operator_call(&old.operator_address(), "POST", "/api/exclude", "e-1"), 200);
     // The file is spoilt, and the one that knows what it said can't mend it: its way of writing is barred.
     let state = state_file(&tmp);
     let part = state.with_extension(format!("{}.part", old.pid()));
@@ -128,15 +128,15 @@
     std::fs::write(&state, b"not a state").expect("written");
     site.options.extend(["--listen".into(), old.address.clone()]);
     let new = Router::start("spoilt-new", &site);
-    old.waits_for("can't be saved");
+    old.wait_for_log("can't be saved");
     // Longer than the new one leaves a spoilt file alone.
-    rig::pass(1000);
+    rig::sleep_ms(1000);
     std::fs::remove_dir(&part).expect("there");
     assert!(stays_out(&old), "it goes on by what it has said yes to");
-    until("the new one has heard of it", || ready(&new) == 503);
+    wait_until("the new one has heard of it", || ready(&new) == 503);
     assert!(stays_out(&new));
-    old.end();
-    new.end();
+    old.terminate();
+    new.terminate();
     std::fs::remove_dir_all(tmp).expect("there");
 }
 
@@ -145,17 +145,17 @@
     let endpoint = Endpoint::new();
     let (old, new, tmp) = pair("mended", &endpoint);
     // The old one stands still as the new one says yes, and the file is spoilt before the old one has looked.
-    old.hold();
-    assert_eq!(call(&new.ops(), "POST", "/api/exclude", "e-1"), 200);
-    new.hold();
+    old.pause();
+    assert_eq!(operator_call(&new.operator_address(), "POST", "/api/exclude", "e-1"), 200);
+    new.pause();
     let state = state_file(&tmp);
     std::fs::write(&state, b"not a state").expect("written");
-    old.go();
-    until("it is mended", || std::fs::read(&state).is_ok_and(|bytes| bytes.starts_with(b"FTSTATE")));
-    new.go();
+    old.resume();
+    wait_until("it is mended", || std::fs::read(&state).is_ok_and(|bytes| bytes.starts_with(b"FTSTATE")));
+    new.resume();
     assert!(stays_out(&new), "its own yes holds");
-    until("the old one has heard of it", || ready(&old) == 503);
-    old.end();
-    new.end();
+    wait_until("the old one has heard of it", || ready(&old) == 503);
+    old.terminate();
+    new.terminate();
     std::fs::remove_dir_all(tmp).expect("there");
 }
--- a/tests/rig/flow.rs
+++ b/tests/rig/flow.rs
@@ -1,7 +1,7 @@
 //! A client that goes on sending on one connection for as long as it is open, and an endpoint that keeps such a connection
 //! from ever being at rest.
 
-use super::{Asked, Client, Endpoint, Event};
+use super::{Client, Endpoint, Event, ReceivedRequest};
 use frostturn::fastcgi::{self, kind};
 use std::collections::{BTreeMap, VecDeque};
 use std::io::{ErrorKind, Read, Write};
@@ -70,7 +70,7 @@
             return;
         }
         let id = u64::from(number);
-        let request = Client::request_within(wait_ms, number, "page", id, id, b"");
+        let request = Client::request_bytes_with_timeout(wait_ms, number, "page", id, id, b"");
         let cut = if shape == Shape::InPieces { request.len() / 2 } else { request.len() };
         let before = (shape == Shape::InPieces).then(|| number - 1);
         let now = Instant::now();
@@ -152,13 +152,13 @@
     let stop = Arc::new(AtomicBool::new(false));
     let stopped = stop.clone();
     let serves = thread::spawn(move || {
-        let mut held: VecDeque<Asked> = VecDeque::new();
+        let mut held: VecDeque<ReceivedRequest> = VecDeque::new();
         let mut came = Instant::now();
         while !stopped.load(Ordering::Relaxed) {
-            for event in endpoint.so_far() {
+            for event in endpoint.received_events() {
                 let Event::Frame(conn, parts) = event else { continue };
                 if parts[0] == "REQ" {
-                    held.push_back(Asked { conn, id: parts[1].clone(), fields: parts[2].clone() });
+                    held.push_back(ReceivedRequest { conn, id: parts[1].clone(), fields: parts[2].clone() });
                     came = Instant::now();
                 }
             }
--- a/tests/rig/mod.rs
+++ b/tests/rig/mod.rs
@@ -25,7 +25,7 @@
 const PATIENCE: Duration = Duration::from_secs(20);
 
 /// Waits until something is so.
-pub fn until(what: &str, mut so: impl FnMut() -> bool) {
+pub fn wait_until(what: &str, mut so: impl FnMut() -> bool) {
     let from = Instant::now();
     while !so() {
         assert!(from.elapsed() < PATIENCE, "waited in vain: {what}");
@@ -34,12 +34,12 @@
 }
 
 /// Lets so much time pass for whoever is stopped: a deadline of it is over by then.
-pub fn pass(ms: u64) {
+pub fn sleep_ms(ms: u64) {
     thread::sleep(Duration::from_millis(ms));
 }
 
 /// What the daemon is told at its start.
-pub struct Site {
+pub struct RouterSetup {
     /// Names and addresses.
     pub endpoints: Vec<(&'static str, String)>,
     pub board: String,
@@ -55,7 +55,7 @@
     pub deadline_ms: u64,
 }
 
-impl Site {
+impl RouterSetup {
     /// One location with these endpoints; nobody answers at the board.
     pub fn new(endpoints: &[(&'static str, &Endpoint)]) -> Self {
         Self {
@@ -72,7 +72,8 @@
     }
 
     fn json(&self) -> String {
-        let endpoints: Vec<String> = self.endpoints.iter().map(|(n, at)| endpoint(n, at, "active")).collect();
+        let endpoints: Vec<String> =
+            self.endpoints.iter().map(|(n, at)| endpoint_json(n, at, "active")).collect();
         let Self { board, settings, limits, memory_mb, sockets, deadline_ms, .. } = self;
         format!(
             r#"{{"name":"n0","listen":"127.0.0.1:0","seed":"7","board":"{board}",
@@ -84,18 +85,18 @@
             {{"Name":"swap","Repeat":"fragile","AimMs":250.0,"HardLimitMs":{deadline_ms}.0}},
             {{"Name":"keyed","Repeat":"dedup","DedupScope":"all","DedupWindowMs":150.0,"AimMs":250.0,
             "HardLimitMs":{deadline_ms}.0}}]}}}}"#,
-            pool(1, true, &endpoints.join(","))
+            pool_notice_json(1, true, &endpoints.join(","))
         )
     }
 }
 
 /// One endpoint as the board lists it.
-pub fn endpoint(name: &str, address: &str, status: &str) -> String {
+pub fn endpoint_json(name: &str, address: &str, status: &str) -> String {
     format!(r#"{{"name":"{name}","address":"{address}","zone":"east","type":"std","status":"{status}"}}"#)
 }
 
 /// A board's event about endpoints.
-pub fn pool(rev: u64, whole: bool, endpoints: &str) -> String {
+pub fn pool_notice_json(rev: u64, whole: bool, endpoints: &str) -> String {
     format!(r#"{{"rev":{rev},"pool":{{"snapshot":{whole},"endpoints":[{endpoints}]}}}}"#)
 }
 
@@ -107,7 +108,7 @@
 }
 
 impl Router {
-    pub fn start(test: &str, site: &Site) -> Self {
+    pub fn start(test: &str, site: &RouterSetup) -> Self {
         let path = std::path::Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("rig-{test}.json"));
         std::fs::write(&path, site.json()).expect("written");
         let mut child = Command::new(env!("CARGO_BIN_EXE_frostturn"))
@@ -128,21 +129,21 @@
             }
         });
         let mut router = Self { child, log, address: String::new() };
-        router.waits_for("listens on ");
-        let said = router.said();
+        router.wait_for_log("listens on ");
+        let said = router.log_text();
         let listens = said.split("listens on ").nth(1).and_then(|rest| rest.split([',', '\n']).next());
         router.address = listens.expect("an address").to_owned();
         router
     }
 
     /// All that it has logged.
-    pub fn said(&self) -> String {
+    pub fn log_text(&self) -> String {
         self.log.lock().expect("not poisoned").clone()
     }
 
     /// Where operators call it, if it was told a place.
-    pub fn ops(&self) -> String {
-        let said = self.said();
+    pub fn operator_address(&self) -> String {
+        let said = self.log_text();
         let after = said.split("operators call at ").nth(1).expect("a place");
         after.lines().next().expect("an address").to_owned()
     }
@@ -153,19 +154,19 @@
     }
 
     /// Bytes of memory that it holds.
-    pub fn resident(&self) -> u64 {
+    pub fn resident_bytes(&self) -> u64 {
         let path = format!("/proc/{}/statm", self.child.id());
         let text = std::fs::read_to_string(path).expect("it runs");
         4096 * text.split(' ').nth(1).and_then(|pages| pages.parse::<u64>().ok()).expect("a figure")
     }
 
     /// Sockets and files that it holds.
-    pub fn descriptors(&self) -> usize {
+    pub fn open_descriptors(&self) -> usize {
         std::fs::read_dir(format!("/proc/{}/fd", self.child.id())).expect("it runs").count()
     }
 
     /// Bounds the files that it may hold open.
-    pub fn bound_descriptors(&self, most: u64) {
+    pub fn limit_descriptors(&self, most: u64) {
         let pid = rustix::process::Pid::from_raw(self.child.id() as i32);
         let maximum = rustix::process::getrlimit(rustix::process::Resource::Nofile).maximum;
         let limit = rustix::process::Rlimit { current: Some(most), maximum };
@@ -178,8 +179,8 @@
     }
 
     /// Waits until it has logged these words.
-    pub fn waits_for(&self, words: &str) {
-        until(words, || self.said().contains(words));
+    pub fn wait_for_log(&self, words: &str) {
+        wait_until(words, || self.log_text().contains(words));
     }
 
     pub fn signal(&self, name: &str) {
@@ -188,44 +189,44 @@
     }
 
     /// Stops it; once this returns it runs no further.
-    pub fn hold(&self) {
+    pub fn pause(&self) {
         self.signal("-STOP");
         let stat = format!("/proc/{}/stat", self.child.id());
-        until("stopped", || std::fs::read_to_string(&stat).is_ok_and(|stat| stat.contains(") T ")));
+        wait_until("stopped", || std::fs::read_to_string(&stat).is_ok_and(|stat| stat.contains(") T ")));
     }
 
     /// Lets it go on: all that is ready by now comes to it in one wake.
-    pub fn go(&self) {
+    pub fn resume(&self) {
         self.signal("-CONT");
     }
 
     /// Whether its process has ended.
-    pub fn ended(&mut self) -> bool {
+    pub fn has_exited(&mut self) -> bool {
         self.child.try_wait().expect("a child").is_some()
     }
 
     /// A figure that it has counted so far.
-    pub fn count(&self, name: &str) -> u64 {
-        let before = self.said().matches("counters ").count();
+    pub fn counter(&self, name: &str) -> u64 {
+        let before = self.log_text().matches("counters ").count();
         self.signal("-USR1");
-        until("counters", || self.said().matches("counters ").count() > before);
-        figure(&self.said(), name)
+        wait_until("counters", || self.log_text().matches("counters ").count() > before);
+        counter_in(&self.log_text(), name)
     }
 
     /// Tells it to end, and waits until it has, with code 0: what it logged.
-    pub fn end(self) -> String {
+    pub fn terminate(self) -> String {
         self.signal("-TERM");
-        self.ends()
+        self.wait_for_exit()
     }
 
     /// It was told to end, and does.
-    pub fn ends(mut self) -> String {
-        until("its end", || self.ended());
+    pub fn wait_for_exit(mut self) -> String {
+        wait_until("its end", || self.has_exited());
         let status = self.child.wait().expect("it has ended");
-        until("its last line", || self.said().contains(" ends; counters"));
-        assert!(status.success(), "{}", self.said());
-        assert_eq!(figure(&self.said(), "violations"), 0, "{}", self.said());
-        self.said()
+        wait_until("its last line", || self.log_text().contains(" ends; counters"));
+        assert!(status.success(), "{}", self.log_text());
+        assert_eq!(counter_in(&self.log_text(), "violations"), 0, "{}", self.log_text());
+        self.log_text()
     }
 }
 
@@ -237,7 +238,7 @@
 }
 
 /// One call to where operators call; the answer's status.
-pub fn call(address: &str, method: &str, path: &str, body: &str) -> u16 {
+pub fn operator_call(address: &str, method: &str, path: &str, body: &str) -> u16 {
     let mut stream = TcpStream::connect(address).expect("it listens");
     stream.set_read_timeout(Some(PATIENCE)).expect("set");
     let length = body.len();
@@ -249,7 +250,7 @@
 }
 
 /// A figure of the last counters in a log.
-pub fn figure(log: &str, name: &str) -> u64 {
+pub fn counter_in(log: &str, name: &str) -> u64 {
     let last = log.rsplit("counters ").next().unwrap_or_default();
     let found = last.split_whitespace().find_map(|pair| pair.strip_prefix(name)?.strip_prefix('='));
     found.and_then(|figure| figure.parse().ok()).unwrap_or_else(|| panic!("{name}: {log}"))
@@ -259,26 +260,26 @@
 #[derive(Debug, PartialEq)]
 pub enum Event {
     /// A connection.
-    Up(usize),
+    Connected(usize),
     /// A frame on it.
     Frame(usize, Vec<String>),
     /// It has ended, by a reset or not.
-    Down(usize, bool),
+    Disconnected(usize, bool),
 }
 
 /// A request that has come whole.
 #[derive(Clone, Debug)]
-pub struct Asked {
+pub struct ReceivedRequest {
     pub conn: usize,
     pub id: String,
     pub fields: String,
 }
 
 /// Takes a request at whichever of these endpoints it comes to: whose, and the request.
-pub fn take(ends: &[(&'static str, Endpoint)]) -> (usize, Asked) {
+pub fn next_request_at_any(ends: &[(&'static str, Endpoint)]) -> (usize, ReceivedRequest) {
     let mut came = None;
-    until("a request", || {
-        came = ends.iter().enumerate().find_map(|(at, (_, end))| Some((at, end.try_asked()?)));
+    wait_until("a request", || {
+        came = ends.iter().enumerate().find_map(|(at, (_, end))| Some((at, end.try_next_request()?)));
         came.is_some()
     });
     came.expect("one came")
@@ -295,13 +296,13 @@
 impl Endpoint {
     /// One that takes connections.
     pub fn new() -> Self {
-        let mut endpoint = Self::late();
-        endpoint.open();
+        let mut endpoint = Self::with_full_backlog();
+        endpoint.accept_connections();
         endpoint
     }
 
     /// One that listens, and whose queue is full: what dials it now waits until it opens.
-    pub fn late() -> Self {
+    pub fn with_full_backlog() -> Self {
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
         socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).expect("a port");
         socket.listen(0).expect("it listens");
@@ -319,7 +320,7 @@
     }
 
     /// Takes connections from now on, those that wait first.
-    pub fn open(&mut self) {
+    pub fn accept_connections(&mut self) {
         let Some((socket, fillers, tell)) = self.held.take() else { return };
         let fillers: Vec<_> = fillers.iter().filter_map(|one| one.local_addr().ok()?.as_socket()).collect();
         socket.listen(128).expect("it listens");
@@ -333,7 +334,7 @@
                 let _ = stream.set_nodelay(true);
                 let reader = stream.try_clone().expect("a second handle");
                 conns.lock().expect("not poisoned").insert(next, stream);
-                if tell.send(Event::Up(next)).is_err() {
+                if tell.send(Event::Connected(next)).is_err() {
                     return;
                 }
                 let tell = tell.clone();
@@ -345,44 +346,44 @@
     }
 
     /// The next thing that comes.
-    pub fn next(&self) -> Event {
+    pub fn next_event(&self) -> Event {
         self.events.recv_timeout(PATIENCE).expect("something comes")
     }
 
     /// The next request.
-    pub fn asked(&self) -> Asked {
+    pub fn next_request(&self) -> ReceivedRequest {
         loop {
-            if let Event::Frame(conn, parts) = self.next() {
+            if let Event::Frame(conn, parts) = self.next_event() {
                 if let [verb, id, fields, _] = &parts[..] {
                     assert_eq!(verb, "REQ", "{parts:?}");
-                    return Asked { conn, id: id.clone(), fields: fields.clone() };
+                    return ReceivedRequest { conn, id: id.clone(), fields: fields.clone() };
                 }
             }
         }
     }
 
     /// The next request, if one has come.
-    pub fn try_asked(&self) -> Option<Asked> {
+    pub fn try_next_request(&self) -> Option<ReceivedRequest> {
         self.events.try_iter().find_map(|event| match event {
             Event::Frame(conn, parts) if parts[0] == "REQ" => {
-                Some(Asked { conn, id: parts[1].clone(), fields: parts[2].clone() })
+                Some(ReceivedRequest { conn, id: parts[1].clone(), fields: parts[2].clone() })
             }
-            Event::Up(_) | Event::Frame(..) | Event::Down(..) => None,
+            Event::Connected(_) | Event::Frame(..) | Event::Disconnected(..) => None,
         })
     }
 
     /// All that has come by now.
-    pub fn so_far(&self) -> Vec<Event> {
+    pub fn received_events(&self) -> Vec<Event> {
         self.events.try_iter().collect()
     }
 
     /// Ids of the requests that have come and weren't looked at.
-    pub fn ids(&self) -> Vec<String> {
+    pub fn received_request_ids(&self) -> Vec<String> {
         let id = |event| match event {
             Event::Frame(_, parts) if parts[0] == "REQ" => parts.into_iter().nth(1),
             _ => None,
         };
-        self.so_far().into_iter().filter_map(id).collect()
+        self.received_events().into_iter().filter_map(id).collect()
     }
 
     pub fn write(&self, conn: usize, bytes: &[u8]) -> std::io::Result<()> {
@@ -391,12 +392,12 @@
     }
 
     /// Answers a request with a body that names it.
-    pub fn serve(&self, asked: &Asked) {
+    pub fn serve(&self, asked: &ReceivedRequest) {
         let body = format!("for {}", asked.id);
         self.reply(asked, "DONE", "tell=cached,version=ab,stamp=1", body.as_bytes());
     }
 
-    pub fn reply(&self, asked: &Asked, word: &str, fields: &str, body: &[u8]) {
+    pub fn reply(&self, asked: &ReceivedRequest, word: &str, fields: &str, body: &[u8]) {
         let frame = resp::frame(&[asked.id.as_bytes(), word.as_bytes(), fields.as_bytes(), body]);
         self.write(asked.conn, &frame).expect("written");
     }
@@ -427,7 +428,7 @@
             let _ = tell.send(Event::Frame(conn, words)); // The test may be over.
         }
     };
-    let _ = tell.send(Event::Down(conn, was_reset));
+    let _ = tell.send(Event::Disconnected(conn, was_reset));
 }
 
 /// Ends a connection with a reset: its reader holds another handle, so that dropping this one does nothing.
@@ -454,12 +455,12 @@
     }
 
     /// The bytes of a request of a class for an object, with an id of its own.
-    pub fn request(request: u16, class: &str, id: u64, object: u64, body: &[u8]) -> Vec<u8> {
-        Self::request_within(2900, request, class, id, object, body)
+    pub fn request_bytes(request: u16, class: &str, id: u64, object: u64, body: &[u8]) -> Vec<u8> {
+        Self::request_bytes_with_timeout(2900, request, class, id, object, body)
     }
 
     /// The same, of a client that waits so many milliseconds.
-    pub fn request_within(
+    pub fn request_bytes_with_timeout(
         wait_ms: u64,
         request: u16,
         class: &str,
@@ -485,8 +486,8 @@
         out
     }
 
-    pub fn ask(&mut self, request: u16, class: &str, id: u64) {
-        let bytes = Self::request(request, class, id, 0xab, b"");
+    pub fn send_request(&mut self, request: u16, class: &str, id: u64) {
+        let bytes = Self::request_bytes(request, class, id, 0xab, b"");
         self.stream.write_all(&bytes).expect("written");
     }
 
@@ -533,24 +534,24 @@
     }
 
     /// Whether the router ends the connection without a reset and without another byte.
-    pub fn closed(&mut self) -> bool {
+    pub fn is_closed(&mut self) -> bool {
         matches!(self.stream.read(&mut [0; 64]), Ok(0))
     }
 }
 
 /// A notice board that answers when it is told to.
-pub struct Board {
+pub struct DiscoveryServer {
     pub address: String,
     listener: TcpListener,
 }
 
 /// A poll that is out.
-pub struct Poll {
-    pub watch: u64,
+pub struct DiscoveryPoll {
+    pub last_revision: u64,
     pub stream: TcpStream,
 }
 
-impl Board {
+impl DiscoveryServer {
     pub fn new() -> Self {
         Self::at("127.0.0.1:0")
     }
@@ -562,19 +563,19 @@
     }
 
     /// The next poll on a new connection.
-    pub fn poll(&self) -> Poll {
+    pub fn poll(&self) -> DiscoveryPoll {
         let (stream, _) = self.listener.accept().expect("it polls");
         stream.set_read_timeout(Some(PATIENCE)).expect("set");
         stream.set_nodelay(true).expect("set");
-        let mut poll = Poll { watch: 0, stream };
-        poll.again();
+        let mut poll = DiscoveryPoll { last_revision: 0, stream };
+        poll.read_next();
         poll
     }
 }
 
-impl Poll {
+impl DiscoveryPoll {
     /// Reads the next poll on the same connection; false if there is none, as it has ended.
-    pub fn again(&mut self) -> bool {
+    pub fn read_next(&mut self) -> bool {
         let mut line = Vec::new();
         while !line.ends_with(b"\r\n\r\n") {
             let mut byte = [0];
@@ -585,17 +586,17 @@
         }
         let text = String::from_utf8(line).expect("text");
         let watch = text.split("watch=").nth(1).and_then(|rest| rest.split('&').next());
-        self.watch = watch.and_then(|watch| watch.parse().ok()).unwrap_or_else(|| panic!("{text}"));
+        self.last_revision = watch.and_then(|watch| watch.parse().ok()).unwrap_or_else(|| panic!("{text}"));
         true
     }
 
     /// The bytes of an answer.
-    pub fn page(rev: u64, notices: &[String]) -> Vec<u8> {
+    pub fn response_bytes(rev: u64, notices: &[String]) -> Vec<u8> {
         let body = format!(r#"{{"rev":{rev},"notices":[{}]}}"#, notices.join(","));
         format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len()).into_bytes()
     }
 
-    pub fn tell(&mut self, rev: u64, notices: &[String]) {
-        self.stream.write_all(&Self::page(rev, notices)).expect("written");
+    pub fn respond(&mut self, rev: u64, notices: &[String]) {
+        self.stream.write_all(&Self::response_bytes(rev, notices)).expect("written");
     }
 }
--- a/tests/serve.rs
+++ b/tests/serve.rs
@@ -4,7 +4,7 @@
 
 use frostturn::fastcgi::{self, kind, Decoder};
 use frostturn::resp;
-use rig::call;
+use rig::operator_call;
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{TcpListener, TcpStream};
 use std::path::{Path, PathBuf};
@@ -117,7 +117,7 @@
     }
 
     /// Ends it with a signal; what it logged.
-    fn end(self) -> String {
+    fn terminate(self) -> String {
         self.signal("-TERM");
         self.wait()
     }
@@ -184,7 +184,7 @@
             assert!(text.starts_with("Status: 200 ") && text.ends_with("xx") && text.len() > 240_000);
         }
     }
-    let log = served.end();
+    let log = served.terminate();
     assert!(
         log.contains("taken=3 ") && log.contains("served=3 ") && log.contains("bad_requests=1 "),
         "{log}"
@@ -200,7 +200,7 @@
     ask(&mut stream, 2, "/ops/page", "00000000000000a2");
     assert!(answer(&mut stream, 2).starts_with("Status: 503 "), "no copy: refused at once");
     let reader = thread::spawn(move || answer(&mut stream, 1));
-    let log = served.end();
+    let log = served.terminate();
     assert!(reader.join().expect("it is answered").starts_with("Status: 503 "));
     assert!(log.contains("taken=2 ") && log.contains("refused=2 "), "{log}");
 }
@@ -224,7 +224,7 @@
     served.line("the new config is not taken, the old one stays");
     ask(&mut stream, 2, "/ops/page", "00000000000000a2");
     assert!(answer(&mut stream, 2).starts_with("Status: 200 "), "the same connection serves on");
-    assert!(served.end().contains(" reloads=1 "));
+    assert!(served.terminate().contains(" reloads=1 "));
 }
 
 #[test]
@@ -270,7 +270,7 @@
     let mut stream = TcpStream::connect(&served.address).expect("it listens");
     stream.write_all(b"GET / HTTP/1.1\r\n\r\n").expect("written");
     let _ = stream.read(&mut [0; 9]);
-    let log = served.end();
+    let log = served.terminate();
     for line in log.lines() {
         let mut bytes = line.as_bytes().to_vec();
         let value = simd_json::to_owned_value(&mut bytes).expect("an object a line");
@@ -310,7 +310,7 @@
         answer(&mut stream, *at).starts_with("Status: 200 ")
     });
     assert!(served_at.is_some(), "it is reached over the new way");
-    assert!(served.end().contains(" reloads=1 "));
+    assert!(served.terminate().contains(" reloads=1 "));
 }
 
 #[test]
@@ -342,7 +342,7 @@
     assert_eq!(lines.matches("Label(\"seen\")").count(), 2, "{lines}");
     served.signal("-HUP");
     served.line("plug-ins taken: p");
-    served.end();
+    served.terminate();
 }
 
 /// Starts one with a place for operators' calls; that place.
@@ -377,25 +377,40 @@
         ask(stream, at, "/ops/page", &format!("{at:016x}"));
         answer(stream, at)[..11].to_owned()
     };
-    assert_eq!((call(&ops, "GET", "/api/ready", ""), status(&mut stream)), (200, "Status: 200".into()));
-    assert_eq!(call(&ops, "POST", "/api/exclude", "s-unknown"), 404);
+    assert_eq!(
+        (operator_call(&ops, "GET", "/api/ready", ""), status(&mut stream)),
+        (200, "Status: 200".into())
+    );
+    assert_eq!(operator_call(&ops, "POST", "/api/exclude", "s-unknown"), 404);
     // Out twice, and back once.
     assert_eq!(
-        (call(&ops, "POST", "/api/exclude", "s-1"), call(&ops, "POST", "/api/exclude", "s-1")),
+        (
+            operator_call(&ops, "POST", "/api/exclude", "s-1"),
+            operator_call(&ops, "POST", "/api/exclude", "s-1")
+        ),
         (200, 200)
     );
     assert_ne!(status(&mut stream), "Status: 200", "nothing more goes there");
-    assert_eq!(call(&ops, "GET", "/api/ready", ""), 503, "nobody is left to serve");
-    assert_eq!(call(&ops, "POST", "/api/include", "s-1"), 200);
-    assert_eq!((call(&ops, "GET", "/api/ready", ""), status(&mut stream)), (200, "Status: 200".into()));
+    assert_eq!(operator_call(&ops, "GET", "/api/ready", ""), 503, "nobody is left to serve");
+    assert_eq!(operator_call(&ops, "POST", "/api/include", "s-1"), 200);
+    assert_eq!(
+        (operator_call(&ops, "GET", "/api/ready", ""), status(&mut stream)),
+        (200, "Status: 200".into())
+    );
     // Emptied: it says no, finishes, closes what is at rest, and goes on.
-    assert_eq!((call(&ops, "POST", "/api/evacuate", ""), call(&ops, "GET", "/api/ready", "")), (200, 503));
+    assert_eq!(
+        (operator_call(&ops, "POST", "/api/evacuate", ""), operator_call(&ops, "GET", "/api/ready", "")),
+        (200, 503)
+    );
     assert_eq!(stream.read(&mut [0; 9]).unwrap_or(0), 0, "a connection at rest is closed");
-    assert_eq!((call(&ops, "POST", "/api/rejoin", ""), call(&ops, "GET", "/api/ready", "")), (200, 200));
+    assert_eq!(
+        (operator_call(&ops, "POST", "/api/rejoin", ""), operator_call(&ops, "GET", "/api/ready", "")),
+        (200, 200)
+    );
     let mut stream = TcpStream::connect(&served.address).expect("it listens still");
     assert_eq!(status(&mut stream), "Status: 200");
-    assert_eq!(call(&ops, "PUT", "/api/rejoin", ""), 405);
-    served.end();
+    assert_eq!(operator_call(&ops, "PUT", "/api/rejoin", ""), 405);
+    served.terminate();
 }
 
 #[test]
@@ -405,7 +420,7 @@
     let (new, new_ops) = start_with_ops("new", &box_, &old.address);
     assert_eq!(new.address, old.address);
     assert_eq!(
-        (call(&old_ops, "GET", "/api/ready", ""), call(&new_ops, "GET", "/api/ready", "")),
+        (operator_call(&old_ops, "GET", "/api/ready", ""), operator_call(&new_ops, "GET", "/api/ready", "")),
         (200, 200)
     );
     // Connections that are open when the old one is told to end are served by whoever took them.
@@ -416,14 +431,14 @@
         ask(stream, 1, "/ops/page", &format!("{at:016x}"));
         assert!(answer(stream, 1).starts_with("Status: 200 "));
     }
-    let log = old.end();
+    let log = old.terminate();
     assert!(log.contains(" ends; counters"), "{log}");
     for at in 0..16 {
         let mut stream = TcpStream::connect(&new.address).expect("the new one listens");
         ask(&mut stream, 1, "/ops/page", &format!("{:016x}", 0x100 + at));
         assert!(answer(&mut stream, 1).starts_with("Status: 200 "));
     }
-    new.end();
+    new.terminate();
 }
 
 #[test]
@@ -435,26 +450,26 @@
     let (old, old_ops) = start_with_ops("both-old", &two, "127.0.0.1:0");
     let (new, new_ops) = start_with_ops("both-new", &two, &old.address);
     // Neither has had time to look at what the other has saved.
-    assert_eq!(call(&old_ops, "POST", "/api/exclude", "s-1"), 200);
-    assert_eq!(call(&new_ops, "POST", "/api/exclude", "s-2"), 200);
+    assert_eq!(operator_call(&old_ops, "POST", "/api/exclude", "s-1"), 200);
+    assert_eq!(operator_call(&new_ops, "POST", "/api/exclude", "s-2"), 200);
     for ops in [&new_ops, &old_ops] {
         let nobody_is_left = (0..100).any(|_| {
             thread::sleep(std::time::Duration::from_millis(30));
-            call(ops, "GET", "/api/ready", "") == 503
+            operator_call(ops, "GET", "/api/ready", "") == 503
         });
         assert!(nobody_is_left, "both are out in both");
     }
     // And they stay out when each has looked again.
     thread::sleep(std::time::Duration::from_millis(600));
     assert_eq!(
-        (call(&old_ops, "GET", "/api/ready", ""), call(&new_ops, "GET", "/api/ready", "")),
+        (operator_call(&old_ops, "GET", "/api/ready", ""), operator_call(&new_ops, "GET", "/api/ready", "")),
         (503, 503)
     );
     for name in ["s-1", "s-2"] {
-        assert_eq!(call(&old_ops, "POST", "/api/include", name), 200);
+        assert_eq!(operator_call(&old_ops, "POST", "/api/include", name), 200);
     }
-    old.end();
-    new.end();
+    old.terminate();
+    new.terminate();
 }
 
 /// A folder of its own for a test, empty.
@@ -485,8 +500,8 @@
     assert!(file.exists(), "it says that it is there");
     // A folder in its place can't be replaced by a file; nor can one be read from it.
     std::fs::remove_file(&file).and_then(|()| std::fs::create_dir(&file)).expect("a folder in its place");
-    assert_eq!(call(&ops, "POST", "/api/exclude", "s-1"), 500);
-    assert_eq!((call(&ops, "GET", "/api/ready", ""), is_served(&served.address, 1)), (200, true));
+    assert_eq!(operator_call(&ops, "POST", "/api/exclude", "s-1"), 500);
+    assert_eq!((operator_call(&ops, "GET", "/api/ready", ""), is_served(&served.address, 1)), (200, true));
     let left = std::fs::read_dir(&tmp).expect("there").flatten().map(|entry| entry.file_name());
     assert!(
         left.into_iter().all(|name| !name.to_string_lossy().ends_with(".part")),
@@ -494,9 +509,15 @@
     );
     // It can be saved again: the next call holds, and the one before was not kept back for it.
     std::fs::remove_dir(&file).expect("empty");
-    assert_eq!((call(&ops, "POST", "/api/include", "s-1"), call(&ops, "GET", "/api/ready", "")), (200, 200));
-    assert_eq!((call(&ops, "POST", "/api/exclude", "s-1"), call(&ops, "GET", "/api/ready", "")), (200, 503));
-    served.end();
+    assert_eq!(
+        (operator_call(&ops, "POST", "/api/include", "s-1"), operator_call(&ops, "GET", "/api/ready", "")),
+        (200, 200)
+    );
+    assert_eq!(
+        (operator_call(&ops, "POST", "/api/exclude", "s-1"), operator_call(&ops, "GET", "/api/ready", "")),
+        (200, 503)
+    );
+    served.terminate();
     std::fs::remove_dir_all(&tmp).expect("there");
 }
 
@@ -505,10 +526,10 @@
     let box_ = machine(|_| "DONE");
     let tmp = folder("badfile");
     let (old, old_ops) = start_below(&tmp, "badfile-old", &box_, "127.0.0.1:0");
-    assert_eq!(call(&old_ops, "POST", "/api/exclude", "s-1"), 200);
+    assert_eq!(operator_call(&old_ops, "POST", "/api/exclude", "s-1"), 200);
     let (address, file) = (old.address.clone(), state_file(&tmp, &old.address));
     let good = std::fs::read(&file).expect("saved");
-    old.end();
+    old.terminate();
     let mut other = good.clone();
     other[7] += 1;
     let bad: [(&[u8], &str); 4] = [
@@ -520,18 +541,22 @@
     for (bytes, why) in bad {
         std::fs::write(&file, bytes).expect("written");
         let (served, ops) = start_below(&tmp, "badfile", &box_, &address);
-        assert_eq!((call(&ops, "GET", "/api/ready", ""), is_served(&address, 1)), (200, true), "{why}");
-        assert_eq!(call(&ops, "POST", "/api/exclude", "s-1"), 200, "and saves over it");
-        assert_eq!(call(&ops, "POST", "/api/include", "s-1"), 200);
-        let said = served.early.clone() + &served.end();
+        assert_eq!(
+            (operator_call(&ops, "GET", "/api/ready", ""), is_served(&address, 1)),
+            (200, true),
+            "{why}"
+        );
+        assert_eq!(operator_call(&ops, "POST", "/api/exclude", "s-1"), 200, "and saves over it");
+        assert_eq!(operator_call(&ops, "POST", "/api/include", "s-1"), 200);
+        let said = served.early.clone() + &served.terminate();
         assert_eq!(said.matches("is not taken: ").count(), 1, "one line: {said}");
         assert!(said.contains(why), "with its reason: {said}");
     }
     // The good one, as it was: what is out is out from the first word on.
     std::fs::write(&file, &good).expect("written");
     let (served, ops) = start_below(&tmp, "badfile-good", &box_, &address);
-    assert_eq!(call(&ops, "GET", "/api/ready", ""), 503, "s-1 is out, and was the only one");
-    served.end();
+    assert_eq!(operator_call(&ops, "GET", "/api/ready", ""), 503, "s-1 is out, and was the only one");
+    served.terminate();
     std::fs::remove_dir_all(&tmp).expect("there");
 }
 
@@ -557,9 +582,13 @@
     }
     ask(&mut kept, 2, "/ops/page", &format!("{:016x}", 0x100));
     assert!(answer(&mut kept, 2).starts_with("Status: 200 "), "nor did its own connections notice");
-    assert_eq!(call(&old_ops, "POST", "/api/exclude", "s-1"), 200, "the lock of a dead process is free");
-    assert_eq!(call(&old_ops, "POST", "/api/include", "s-1"), 200);
-    old.end();
+    assert_eq!(
+        operator_call(&old_ops, "POST", "/api/exclude", "s-1"),
+        200,
+        "the lock of a dead process is free"
+    );
+    assert_eq!(operator_call(&old_ops, "POST", "/api/include", "s-1"), 200);
+    old.terminate();
 }
 
 #[test]
@@ -590,17 +619,20 @@
     }
     for round in 1..=10 {
         // Each round of calls stands between clients' answers, however slow this machine is.
-        rig::until("they are busy", || answers.load(Ordering::Relaxed) >= 8 * round);
-        assert_eq!(call(&ops, "GET", "/api/ready", ""), 200);
-        assert_eq!(call(&ops, "POST", "/api/exclude", "s-none"), 404);
-        assert_eq!(call(&ops, "POST", "/api/exclude", "s-1"), 200);
-        assert_eq!(call(&ops, "POST", "/api/include", "s-1"), 200);
-        assert_eq!((call(&ops, "GET", "/api/nothing", ""), call(&ops, "PUT", "/api/ready", "")), (404, 405));
-        assert_eq!(call(&ops, "POST", "/api/exclude", &"x".repeat(5000)), 413);
+        rig::wait_until("they are busy", || answers.load(Ordering::Relaxed) >= 8 * round);
+        assert_eq!(operator_call(&ops, "GET", "/api/ready", ""), 200);
+        assert_eq!(operator_call(&ops, "POST", "/api/exclude", "s-none"), 404);
+        assert_eq!(operator_call(&ops, "POST", "/api/exclude", "s-1"), 200);
+        assert_eq!(operator_call(&ops, "POST", "/api/include", "s-1"), 200);
+        assert_eq!(
+            (operator_call(&ops, "GET", "/api/nothing", ""), operator_call(&ops, "PUT", "/api/ready", "")),
+            (404, 405)
+        );
+        assert_eq!(operator_call(&ops, "POST", "/api/exclude", &"x".repeat(5000)), 413);
     }
     stop.store(true, Ordering::Relaxed);
     clients.into_iter().for_each(|client| client.join().expect("all answered"));
-    served.end();
+    served.terminate();
 }
 
 #[test]
@@ -662,7 +694,7 @@
         assert!(told.contains(figure), "{figure}: {told}");
     }
     assert!(told.contains(r#"{"service":"page","disposition":"succeeded","count":1}"#), "{told}");
-    served.end();
+    served.terminate();
     assert!(!socket.exists(), "taken away with it");
     assert_eq!(ctl(&["ready"]).0, 3, "nobody answers");
     std::fs::remove_dir_all(&tmp).expect("there");
@@ -673,7 +705,7 @@
     let box_ = machine(|_| "DONE");
     let tmp = folder("mended");
     let (old, old_ops) = start_below(&tmp, "mended-old", &box_, "127.0.0.1:0");
-    assert_eq!(call(&old_ops, "POST", "/api/exclude", "s-1"), 200);
+    assert_eq!(operator_call(&old_ops, "POST", "/api/exclude", "s-1"), 200);
     let file = state_file(&tmp, &old.address);
     let bytes = std::fs::read(&file).expect("saved");
     std::fs::write(&file, &bytes[..bytes.len() - 3]).expect("written");
@@ -681,17 +713,17 @@
     let heeds = |ops: &str| {
         (0..100).any(|_| {
             thread::sleep(std::time::Duration::from_millis(30));
-            call(ops, "GET", "/api/ready", "") == 503
+            operator_call(ops, "GET", "/api/ready", "") == 503
         })
     };
     assert!(heeds(&new_ops) && heeds(&old_ops), "the only machine is out in both");
     // And still so when either has said its next word.
     thread::sleep(std::time::Duration::from_millis(1500));
     assert_eq!(
-        (call(&old_ops, "GET", "/api/ready", ""), call(&new_ops, "GET", "/api/ready", "")),
+        (operator_call(&old_ops, "GET", "/api/ready", ""), operator_call(&new_ops, "GET", "/api/ready", "")),
         (503, 503)
     );
-    old.end();
-    new.end();
+    old.terminate();
+    new.terminate();
     std::fs::remove_dir_all(&tmp).expect("there");
 }
