--- a/src/api.rs
+++ b/src/api.rs
@@ -138,7 +138,7 @@
 pub enum Detail {
     /// None.
     #[default]
-    Silent,
+    None,
     /// Only how an answer was served.
     Hit,
     /// All of them, with the source's time to first byte.
@@ -150,7 +150,7 @@
 pub enum Weights {
     /// Nothing: it is fixed.
     #[default]
-    Silent,
+    Unknown,
     /// The registered size of the link, in transfers at full pace.
     Nominal,
     /// About that size.
@@ -174,7 +174,7 @@
 pub enum ReportSource {
     /// Never.
     #[default]
-    Silent,
+    None,
     /// With outcomes and probes.
     Piggyback,
     /// With probes alone.
@@ -185,23 +185,23 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Guarantees {
     /// A final answer still counts this long after the client's deadline.
-    pub grace_to_answer_ms: Millis,
+    pub answer_grace_ms: Millis,
     /// Nothing is sent to a draining cache later than this after word of it.
     pub stop_sending_ms: Millis,
     /// Share of its capacity that a cache starts with, at least.
-    pub cold_from: f64,
+    pub cold_start_share: f64,
     /// It is warm after this long, at most.
-    pub cold_ms: Millis,
+    pub cold_start_ms: Millis,
     /// Sent more than this multiple of its present capacity ...
-    pub fall_multiple: f64,
+    pub overload_multiple: f64,
     /// ... for this long, a cold cache falls over.
     pub overload_ms: Millis,
-    /// `cold_from` of a parent.
-    pub parent_cold_from: f64,
-    /// `cold_ms` of a parent.
-    pub parent_cold_ms: Millis,
-    /// `fall_multiple` of a parent.
-    pub parent_fall_multiple: f64,
+    /// `cold_start_share` of a parent.
+    pub parent_cold_start_share: f64,
+    /// `cold_start_ms` of a parent.
+    pub parent_cold_start_ms: Millis,
+    /// `overload_multiple` of a parent.
+    pub parent_overload_multiple: f64,
     /// No copy older than a purge answers what is sent later than this after word of it.
     pub purge_notice_ms: Millis,
     /// By then all caches and parents have dropped purged copies by themselves.
@@ -222,7 +222,7 @@
     /// The longest hold-off that a client heeds.
     pub max_retry_after_ms: Millis,
     /// Two attempts of one request may be out together.
-    pub second_copies: bool,
+    pub hedging: bool,
 }
 
 impl Default for Limits {
@@ -234,7 +234,7 @@
             probes: false,
             retry_after: false,
             max_retry_after_ms: 0.0,
-            second_copies: false,
+            hedging: false,
         }
     }
 }
@@ -305,7 +305,7 @@
     /// Where it stands.
     pub zone: Zone,
     /// See [`Weights`].
-    pub rating: f64,
+    pub weight: f64,
     /// Its state.
     pub phase: Phase,
     /// When it last started; `None`: long ago.
@@ -320,9 +320,9 @@
     /// The whole list.
     Full,
     /// The whole list as it was held last, maybe out of date.
-    Held,
+    Cached,
     /// The call or the subscription failed; nothing has changed.
-    Lost,
+    Failed,
 }
 
 /// How an attempt ended.
@@ -357,7 +357,7 @@
 
 /// What a cache says about how an attempt went.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Note {
+pub enum CacheStatus {
     /// Found there.
     Hit,
     /// Filled from the source's copy.
@@ -371,11 +371,11 @@
     /// The source said no.
     SourceRefused,
     /// The source was unreachable, broken or too slow.
-    SourceLost,
+    SourceUnavailable,
     /// The source has none.
-    SourceLacks,
+    SourceMiss,
     /// All places for fills are taken at the cache.
-    NoFillPlace,
+    NoFillSlot,
     /// The origin failed behind the parent.
     OriginFailed,
 }
@@ -418,31 +418,31 @@
 
 impl ClientRequest {
     /// How much plug-ins favour a cache for it.
-    pub fn strength(&self, cache: &CacheId) -> i16 {
-        let strengths = self.advice.as_ref().map_or(&[][..], |advice| &advice.strengths);
-        strengths.iter().find(|(of, _)| of == cache).map_or(0, |(_, strength)| *strength)
+    pub fn preference(&self, cache: &CacheId) -> i16 {
+        let preferences = self.advice.as_ref().map_or(&[][..], |advice| &advice.preferences);
+        preferences.iter().find(|(of, _)| of == cache).map_or(0, |(_, strength)| *strength)
     }
 
     /// Attempts at most: what is usual, or fewer.
-    pub fn most_attempts(&self, usual: usize) -> usize {
+    pub fn max_attempts(&self, usual: usize) -> usize {
         let advised = self.advice.as_ref().and_then(|advice| advice.max_attempts);
         advised.map_or(usual, |most| most.min(usual))
     }
 
     /// The rank at which a copy is kept.
-    pub fn keep(&self, usual: Keep) -> Keep {
-        self.advice.as_ref().and_then(|advice| advice.keep).unwrap_or(usual)
+    pub fn retention(&self, usual: Retention) -> Retention {
+        self.advice.as_ref().and_then(|advice| advice.retention).unwrap_or(usual)
     }
 
     /// The oldest copy that will do: what is usual, or younger.
-    pub fn oldest(&self, usual: Option<Millis>) -> Option<Millis> {
+    pub fn max_age_ms(&self, usual: Option<Millis>) -> Option<Millis> {
         let advised = self.advice.as_ref().and_then(|advice| advice.max_age_ms);
         usual.map(|usual| advised.map_or(usual, |oldest| oldest.min(usual)))
     }
 
     /// When to come back, if plug-ins have it refused before its first attempt.
-    pub fn refused(&self) -> Option<Millis> {
-        self.advice.as_ref().and_then(|advice| advice.refuse)
+    pub fn refuse_retry_after_ms(&self) -> Option<Millis> {
+        self.advice.as_ref().and_then(|advice| advice.refuse_retry_after_ms)
     }
 }
 
@@ -450,15 +450,15 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Advice {
     /// Caches that are favoured (above 0) or avoided (below 0), by -100 to 100.
-    pub strengths: Vec<(CacheId, i16)>,
+    pub preferences: Vec<(CacheId, i16)>,
     /// The rank at which a copy is kept.
-    pub keep: Option<Keep>,
+    pub retention: Option<Retention>,
     /// The oldest copy that will do, where the usual one may be older.
     pub max_age_ms: Option<Millis>,
     /// Attempts at most, where the usual limit is higher.
     pub max_attempts: Option<usize>,
     /// Refuse it before its first attempt, and have the client come back after this time.
-    pub refuse: Option<Millis>,
+    pub refuse_retry_after_ms: Option<Millis>,
 }
 
 /// The report of one attempt's end.
@@ -473,13 +473,13 @@
     /// How it ended.
     pub outcome: Outcome,
     /// How long ago it was sent.
-    pub waited_ms: Millis,
+    pub elapsed_ms: Millis,
     /// The request is finished by this or before it.
     pub last: bool,
     /// What the cache says.
-    pub note: Option<Note>,
+    pub cache_status: Option<CacheStatus>,
     /// The source's time to first byte, or to its failure.
-    pub source_wait_ms: Option<Millis>,
+    pub source_ttfb_ms: Option<Millis>,
     /// A load report that came along.
     pub report: LoadReport,
     /// What its bytes amount to, in KB as sizes are told; `None`: it brought none, or they aren't counted.
@@ -508,7 +508,7 @@
         attempt: usize,
     },
     /// The client is gone; no answer is owed any more.
-    Dropped {
+    Aborted {
         /// The request.
         id: RequestId,
     },
@@ -536,9 +536,9 @@
 
 /// The rank at which a copy is kept.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Keep {
+pub enum Retention {
     /// Pass it through.
-    No,
+    NoStore,
     /// Dropped first.
     Low,
     /// Dropped after the low ones.
@@ -557,9 +557,9 @@
     /// Wait for a fill that runs already.
     pub join: bool,
     /// Serve an ageing copy and fetch it anew behind.
-    pub renew: bool,
+    pub background_refresh: bool,
     /// The source gives only what it holds, and fetches nothing.
-    pub held_only: bool,
+    pub cached_only: bool,
     /// The attempt's time-out.
     pub timeout_ms: Millis,
     /// Who supplies a miss; the cache itself: nobody.
@@ -567,9 +567,9 @@
     /// No copy older than this; `None`: the class's fresh time.
     pub max_age_ms: Option<Millis>,
     /// Whether the copy is kept.
-    pub keep: Keep,
+    pub retention: Retention,
     /// Its first byte leaves within this, or it is not sent: a repeat's window would be over. `None`: no such bound.
-    pub within_ms: Option<Millis>,
+    pub send_within_ms: Option<Millis>,
 }
 
 /// What a router asks for.
@@ -582,7 +582,7 @@
         /// The request.
         id: RequestId,
         /// When to come back; `None`: no advice.
-        hold_off_ms: Option<Millis>,
+        retry_after_ms: Option<Millis>,
         /// Why no further attempt is made.
         reason: Refusal,
     },
--- a/src/back/words.rs
+++ b/src/back/words.rs
@@ -1,6 +1,6 @@
 //! The fields of frames, in words.
 
-use crate::api::{Keep, LoadReport, Millis, Note};
+use crate::api::{CacheStatus, LoadReport, Millis, Retention};
 use crate::config;
 use crate::reducer::Call;
 use crate::resp;
@@ -32,18 +32,18 @@
     }
 }
 
-pub(super) fn note(name: &str) -> Option<Note> {
+pub(super) fn note(name: &str) -> Option<CacheStatus> {
     Some(match name {
-        "cached" => Note::Hit,
-        "fetched" => Note::Filled,
-        "fetched_root" => Note::FilledFromOrigin,
-        "merged" => Note::Joined,
-        "past_fresh" => Note::Stale,
-        "up_refused" => Note::SourceRefused,
-        "up_lost" => Note::SourceLost,
-        "up_empty" => Note::SourceLacks,
-        "fills_full" => Note::NoFillPlace,
-        "root_failed" => Note::OriginFailed,
+        "cached" => CacheStatus::Hit,
+        "fetched" => CacheStatus::Filled,
+        "fetched_root" => CacheStatus::FilledFromOrigin,
+        "merged" => CacheStatus::Joined,
+        "past_fresh" => CacheStatus::Stale,
+        "up_refused" => CacheStatus::SourceRefused,
+        "up_lost" => CacheStatus::SourceUnavailable,
+        "up_empty" => CacheStatus::SourceMiss,
+        "fills_full" => CacheStatus::NoFillSlot,
+        "root_failed" => CacheStatus::OriginFailed,
         _ => return None,
     })
 }
@@ -70,16 +70,17 @@
     if fetch.source != fetch.cache {
         field("fetch", fetch.source.to_string());
     }
-    match fetch.keep {
-        Keep::No => {}
-        Keep::Low => field("retain", "1".to_owned()),
-        Keep::Middle => field("retain", "2".to_owned()),
-        Keep::High => field("retain", "3".to_owned()),
+    match fetch.retention {
+        Retention::NoStore => {}
+        Retention::Low => field("retain", "1".to_owned()),
+        Retention::Middle => field("retain", "2".to_owned()),
+        Retention::High => field("retain", "3".to_owned()),
     }
     if let Some(age) = fetch.max_age_ms {
         field("newer", (age.floor().max(1.0) as u64).to_string());
     }
-    let how = [(fetch.join, "coalesce"), (fetch.held_only, "shallow"), (fetch.renew, "freshen")];
+    let how =
+        [(fetch.join, "coalesce"), (fetch.cached_only, "shallow"), (fetch.background_refresh, "freshen")];
     let how: Vec<&str> = how.iter().filter(|(wanted, _)| *wanted).map(|(_, word)| *word).collect();
     if !how.is_empty() {
         field("handle", how.join("+"));
--- a/src/bin/frostturn-simhost/wire.rs
+++ b/src/bin/frostturn-simhost/wire.rs
@@ -67,18 +67,18 @@
     })
 }
 
-fn note(code: u64) -> Option<Note> {
+fn cache_status(code: u64) -> Option<CacheStatus> {
     Some(match code {
-        1 => Note::Hit,
-        2 => Note::Filled,
-        3 => Note::FilledFromOrigin,
-        4 => Note::Joined,
-        5 => Note::Stale,
-        6 => Note::SourceRefused,
-        7 => Note::SourceLost,
-        8 => Note::SourceLacks,
-        9 => Note::NoFillPlace,
-        10 => Note::OriginFailed,
+        1 => CacheStatus::Hit,
+        2 => CacheStatus::Filled,
+        3 => CacheStatus::FilledFromOrigin,
+        4 => CacheStatus::Joined,
+        5 => CacheStatus::Stale,
+        6 => CacheStatus::SourceRefused,
+        7 => CacheStatus::SourceUnavailable,
+        8 => CacheStatus::SourceMiss,
+        9 => CacheStatus::NoFillSlot,
+        10 => CacheStatus::OriginFailed,
         _ => return None,
     })
 }
@@ -100,7 +100,7 @@
     let kind = fields.optional().unwrap_or_default().into();
     let cell = fields.whole_or_zero("Block")?;
     let zone = fields.optional().unwrap_or_default().into();
-    let rating = fields.number_or_none("Rating")?.unwrap_or(1.0);
+    let weight = fields.number_or_none("Rating")?.unwrap_or(1.0);
     let phase = match fields.required("Phase")? {
         "SERVING" => Phase::Serving,
         "DRAINING" => Phase::Draining,
@@ -109,7 +109,7 @@
     };
     let online_since = fields.number_or_none("OnlineSinceMs")?.filter(|since| *since > 0.0);
     let cache = fields.required("Cache")?.into();
-    Ok(ListEntry { cache, kind, cell, zone, rating, phase, online_since })
+    Ok(ListEntry { cache, kind, cell, zone, weight, phase, online_since })
 }
 
 /// Reads the mode and the page of a `MEMBERSHIP` line.
@@ -117,8 +117,8 @@
     let mode = match fields.required("Mode")? {
         "incr" => ListMode::Changes,
         "total" => ListMode::Full,
-        "warm_copy" => ListMode::Held,
-        "lost" => ListMode::Lost,
+        "warm_copy" => ListMode::Cached,
+        "lost" => ListMode::Failed,
         other => return Err(format!("unknown mode {other}")),
     };
     fields.whole_or_zero("Generation")?;
@@ -145,17 +145,17 @@
             attempt: fields.whole("Go")? as usize,
             cache: fields.required("Cache")?.into(),
             outcome: outcome(fields.whole("How")?)?,
-            waited_ms: fields.number("WaitTimeMs")?,
+            elapsed_ms: fields.number("WaitTimeMs")?,
             last: fields.whole_or_zero("Last")? != 0,
-            note: note(fields.whole_or_zero("Note")?),
-            source_wait_ms: fields.number_or_none("SourceWaitMs")?,
+            cache_status: cache_status(fields.whole_or_zero("Note")?),
+            source_ttfb_ms: fields.number_or_none("SourceWaitMs")?,
             report: report(fields.optional())?,
             size_kb: None, // Bytes aren't counted there.
         }),
         "FIRST" => {
             Event::Started { id: fields.required("Xid")?.into(), attempt: fields.whole("Go")? as usize }
         }
-        "DROPPED" => Event::Dropped { id: fields.required("Xid")?.into() },
+        "DROPPED" => Event::Aborted { id: fields.required("Xid")?.into() },
         "WAKE" => Event::Timer(Token(fields.whole("Cookie")?)),
         "ECHO" => {
             let cache = fields.required("Cache")?.into();
@@ -182,19 +182,21 @@
     // Writing to a `String` cannot fail.
     let _ = match action {
         Action::Fetch(fetch) => {
-            let how = u8::from(fetch.join) + 2 * u8::from(fetch.held_only) + 8 * u8::from(fetch.renew);
-            let rank = match fetch.keep {
-                Keep::No => 0,
-                Keep::Low => 1,
-                Keep::Middle => 2,
-                Keep::High => 3,
+            let how = u8::from(fetch.join)
+                + 2 * u8::from(fetch.cached_only)
+                + 8 * u8::from(fetch.background_refresh);
+            let rank = match fetch.retention {
+                Retention::NoStore => 0,
+                Retention::Low => 1,
+                Retention::Middle => 2,
+                Retention::High => 3,
             };
             let (id, cache, source) = (&fetch.id, &fetch.cache, &fetch.source);
             let (timeout, age) = (fetch.timeout_ms, fetch.max_age_ms.unwrap_or(0.0));
             writeln!(out, "GET\t{instance}\t{id}\t{cache}\t{how}\t{timeout:.3}\t{source}\t{age:.3}\t{rank}")
         }
-        Action::Refuse { id, hold_off_ms, .. } => {
-            writeln!(out, "PUSH_BACK\t{instance}\t{id}\t{:.1}", hold_off_ms.unwrap_or(0.0))
+        Action::Refuse { id, retry_after_ms, .. } => {
+            writeln!(out, "PUSH_BACK\t{instance}\t{id}\t{:.1}", retry_after_ms.unwrap_or(0.0))
         }
         Action::Fail { id, .. } => writeln!(out, "LOSE\t{instance}\t{id}"),
         Action::Abandon { id, attempt } => writeln!(out, "ABANDON\t{instance}\t{id}\t{attempt}"),
--- a/src/config.rs
+++ b/src/config.rs
@@ -274,15 +274,15 @@
 /// Reads the module's settings from the pairs.
 pub fn settings(options: &Options) -> Result<Settings, Fault> {
     let guarantees = Guarantees {
-        grace_to_answer_ms: options.number("Guarantees.GraceToAnswerMs")?,
+        answer_grace_ms: options.number("Guarantees.GraceToAnswerMs")?,
         stop_sending_ms: options.number("Guarantees.StopSendingWithinMs")?,
-        cold_from: options.number("Guarantees.ColdFrom")?,
-        cold_ms: options.number("Guarantees.ColdMs")?,
-        fall_multiple: options.number("Guarantees.FallMultiple")?,
+        cold_start_share: options.number("Guarantees.ColdFrom")?,
+        cold_start_ms: options.number("Guarantees.ColdMs")?,
+        overload_multiple: options.number("Guarantees.FallMultiple")?,
         overload_ms: options.number("Guarantees.OverloadForMs")?,
-        parent_cold_from: options.number("FamilyInfo.ParentColdFrom")?,
-        parent_cold_ms: options.number("FamilyInfo.UpperColdMs")?,
-        parent_fall_multiple: options.number("FamilyInfo.UpperFallMultiple")?,
+        parent_cold_start_share: options.number("FamilyInfo.ParentColdFrom")?,
+        parent_cold_start_ms: options.number("FamilyInfo.UpperColdMs")?,
+        parent_overload_multiple: options.number("FamilyInfo.UpperFallMultiple")?,
         purge_notice_ms: options.number("FamilyInfo.NoticeTimeMs")?,
         // Bounding ages for too long costs memory alone; for too short it would let a purged copy answer.
         purge_gone_ms: options.number_or("FamilyInfo.GoneEverywhereMs", PURGES_KEPT_MS)?,
@@ -293,7 +293,7 @@
         probes: options.yes("Limits.Probes"),
         retry_after: options.yes("Limits.RetryAfter"),
         max_retry_after_ms: options.number("Limits.MaxRetryAfterMs")?,
-        second_copies: options.yes("Limits.SecondCopies"),
+        hedging: options.yes("Limits.SecondCopies"),
     };
     Ok(Settings {
         zone: Some(options.text("Az")).filter(|name| !name.is_empty()).map(Zone::from),
@@ -310,7 +310,7 @@
         detail: match options.text("FamilyInfo.Detail") {
             "all" => Detail::All,
             "hit" => Detail::Hit,
-            _ => Detail::Silent,
+            _ => Detail::None,
         },
         siblings: match options.text("FamilyInfo.Sideways") {
             "any" => Siblings::Any,
@@ -322,7 +322,7 @@
             "nominal" => Weights::Nominal,
             "rough" => Weights::Rough,
             "live" => Weights::Live,
-            _ => Weights::Silent,
+            _ => Weights::Unknown,
         },
         discovery: match options.text("Discovery") {
             "ask" => Discovery::Ask,
@@ -331,7 +331,7 @@
         reports: match options.text("Stats.Source") {
             "piggyback" => ReportSource::Piggyback,
             "pull" => ReportSource::Pull,
-            _ => ReportSource::Silent,
+            _ => ReportSource::None,
         },
         guarantees,
         limits,
--- a/src/front.rs
+++ b/src/front.rs
@@ -313,8 +313,9 @@
                 (format!("Status: 200 OK\r\nContent-Type: application/octet-stream\r\nContent-Length: {length}\r\n\r\n"), body)
             }
             Reply::Unchanged => ("Status: 200 OK\r\nX-Valid: 1\r\nContent-Length: 0\r\n\r\n".to_owned(), b""),
-            Reply::Refused { hold_off_ms, .. } => {
-                let wait = hold_off_ms.map(|ms| format!("Retry-After-Ms: {}\r\n", ms.ceil().max(0.0) as u64));
+            Reply::Refused { retry_after_ms, .. } => {
+                let wait =
+                    retry_after_ms.map(|ms| format!("Retry-After-Ms: {}\r\n", ms.ceil().max(0.0) as u64));
                 let wait = wait.unwrap_or_default();
                 (format!("Status: 503 Service Unavailable\r\n{wait}Content-Length: 0\r\n\r\n"), b"")
             }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -34,7 +34,7 @@
 //!     kind: kind.into(),
 //!     cell: 0,
 //!     zone: "east".into(),
-//!     rating: 1.0,
+//!     weight: 1.0,
 //!     phase: Phase::Serving,
 //!     online_since: None,
 //! };
--- a/src/plugins/guard.rs
+++ b/src/plugins/guard.rs
@@ -4,7 +4,7 @@
 //! There is no advice by which a target, an attempt or a copy could be added, a request be held back, or one be
 //! sent again: such words don't exist in the layout.
 
-use crate::api::{Advice, CacheId, ClassSettings, Keep, Limits, Repeat};
+use crate::api::{Advice, CacheId, ClassSettings, Limits, Repeat, Retention};
 use frostturn_plugin_kit::{advice, Advice as Said, Machine, Malformed};
 
 /// The most a machine can be favoured or avoided.
@@ -66,22 +66,22 @@
                 return false;
             }
             let cut = strength.clamp(-MAX_STRENGTH, MAX_STRENGTH);
-            match advice.strengths.iter_mut().find(|(of, _)| of == name) {
+            match advice.preferences.iter_mut().find(|(of, _)| of == name) {
                 Some((_, before)) => *before = cut,
-                None => advice.strengths.push((name.clone(), cut)),
+                None => advice.preferences.push((name.clone(), cut)),
             }
             cut == strength
         }
         Said::Keep(rank) => {
             let keep = match rank {
                 _ if allowed.class.uncached => return false,
-                0 => Keep::No,
-                1 => Keep::Low,
-                2 => Keep::Middle,
-                3 => Keep::High,
+                0 => Retention::NoStore,
+                1 => Retention::Low,
+                2 => Retention::Middle,
+                3 => Retention::High,
                 _ => return false,
             };
-            advice.keep = Some(keep);
+            advice.retention = Some(keep);
             true
         }
         Said::Oldest(ms) => {
@@ -106,7 +106,8 @@
             let limits = allowed.limits;
             let told = if limits.max_retry_after_ms > 0.0 { limits.max_retry_after_ms } else { MAX_HOLD_MS };
             let cut = f64::from(ms).min(if limits.retry_after { told } else { 0.0 });
-            advice.refuse = Some(advice.refuse.map_or(cut, |before: f64| before.max(cut)));
+            advice.refuse_retry_after_ms =
+                Some(advice.refuse_retry_after_ms.map_or(cut, |before: f64| before.max(cut)));
             cut == f64::from(ms)
         }
         Said::Label(name) => {
@@ -125,16 +126,17 @@
     /// attempts, and the longer of two refusals.
     pub fn merge(mut self, other: Self) -> Self {
         let (own, new) = (&mut self.advice, other.advice);
-        for (name, strength) in new.strengths {
-            match own.strengths.iter_mut().find(|(of, _)| *of == name) {
+        for (name, strength) in new.preferences {
+            match own.preferences.iter_mut().find(|(of, _)| *of == name) {
                 Some((_, before)) => *before = (*before + strength).clamp(-MAX_STRENGTH, MAX_STRENGTH),
-                None => own.strengths.push((name, strength)),
+                None => own.preferences.push((name, strength)),
             }
         }
-        own.keep = [own.keep, new.keep].into_iter().flatten().min_by_key(|keep| *keep as u8);
+        own.retention = [own.retention, new.retention].into_iter().flatten().min_by_key(|keep| *keep as u8);
         own.max_age_ms = [own.max_age_ms, new.max_age_ms].into_iter().flatten().reduce(f64::min);
         own.max_attempts = [own.max_attempts, new.max_attempts].into_iter().flatten().min();
-        own.refuse = [own.refuse, new.refuse].into_iter().flatten().reduce(f64::max);
+        own.refuse_retry_after_ms =
+            [own.refuse_retry_after_ms, new.refuse_retry_after_ms].into_iter().flatten().reduce(f64::max);
         self.labels.extend(other.labels);
         self.left_out += other.left_out;
         self
--- a/src/plugins/mod.rs
+++ b/src/plugins/mod.rs
@@ -12,7 +12,9 @@
 
 pub use watch::Watch;
 
-use crate::api::{Advice, AttemptResult, CacheId, ClassSettings, Millis, Note, Outcome, Repeat, Settings};
+use crate::api::{
+    Advice, AttemptResult, CacheId, CacheStatus, ClassSettings, Millis, Outcome, Repeat, Settings,
+};
 use breaker::{Breaker, State};
 use engine::{Fault, Hook, Instance};
 use frostturn_plugin_kit as kit;
@@ -305,12 +307,12 @@
             attempt: result.attempt as u16,
             outcome: outcome_number(result.outcome),
             machine: place.map_or(kit::NONE, |at| at as u16),
-            note: match result.note {
-                Some(Note::Hit | Note::Stale) => 1,
-                Some(Note::Filled | Note::FilledFromOrigin | Note::Joined) => 2,
+            note: match result.cache_status {
+                Some(CacheStatus::Hit | CacheStatus::Stale) => 1,
+                Some(CacheStatus::Filled | CacheStatus::FilledFromOrigin | CacheStatus::Joined) => 2,
                 _ => 0,
             },
-            waited_ms: result.waited_ms as f32,
+            waited_ms: result.elapsed_ms as f32,
             now_ms: now as u64,
             ..kit::ViewHead::default()
         };
--- a/src/plugins/watch.rs
+++ b/src/plugins/watch.rs
@@ -26,7 +26,7 @@
     /// None yet.
     pub fn new(settings: &Settings) -> Self {
         let upper = [&settings.parent_kind, &settings.origin_kind].into_iter().flatten().cloned().collect();
-        let cold = (settings.guarantees.cold_from, settings.guarantees.cold_ms);
+        let cold = (settings.guarantees.cold_start_share, settings.guarantees.cold_start_ms);
         Self { zone: settings.zone.clone(), upper, cold, seen: BTreeMap::new() }
     }
 
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -251,7 +251,7 @@
     }
 
     /// Listed machines that are left alone since they failed.
-    pub fn ejected(&self) -> usize {
+    pub fn ejected_count(&self) -> usize {
         self.nodes.iter().filter(|node| node.listed && node.health.ejected_until.is_some()).count()
     }
 
@@ -264,7 +264,7 @@
             actions.extend(ask.then_some(Action::Subscribe));
         }
         match event {
-            Event::List { mode: ListMode::Lost, .. } => actions.extend(ask.then_some(Action::Subscribe)),
+            Event::List { mode: ListMode::Failed, .. } => actions.extend(ask.then_some(Action::Subscribe)),
             Event::Probed { .. } => {}
             Event::List { mode, entries } => self.list(now, mode, entries),
             Event::Request(asked) => self.request(now, asked, actions),
@@ -273,7 +273,7 @@
                 let Some(Attempt { cache, .. }) = self.attempt(&id, attempt).copied() else { return };
                 self.succeeded(now, cache, actions);
             }
-            Event::Dropped { id } => self.finish(&id),
+            Event::Aborted { id } => self.finish(&id),
             Event::Timer(_) => {
                 self.tick(now, actions);
                 actions.push(Action::Timer { delay_ms: TICK_MS, token: Token(0) });
@@ -299,7 +299,7 @@
             let at = self.node(now, &entry);
             let node = &mut self.nodes[at];
             node.listed = entry.phase == Phase::Serving;
-            node.entry.rating = entry.rating;
+            node.entry.weight = entry.weight;
             if entry.online_since > node.started {
                 (node.started, node.health) = (entry.online_since, Health::default());
                 node.learned = Learned::default();
@@ -455,8 +455,8 @@
     /// Learns an untold size from an answer: by its bytes where they are counted, else by a hit's time.
     fn shown(&mut self, class: usize, key: Option<&Piece>, result: &AttemptResult) {
         let counted = result.size_kb.and_then(|kb| self.at_pace(kb));
-        let hit = result.note.is_none_or(|note| note == Note::Hit);
-        let took = Some((result.waited_ms - TTFB_START_MS / 5.0).max(0.0)).filter(|_| hit);
+        let hit = result.cache_status.is_none_or(|note| note == CacheStatus::Hit);
+        let took = Some((result.elapsed_ms - TTFB_START_MS / 5.0).max(0.0)).filter(|_| hit);
         counted.or(took).into_iter().for_each(|own| self.heard(class, own));
         let object = key.and_then(|key| self.objects.get_mut(key));
         object.into_iter().for_each(|object| object.shown = counted.or(object.shown));
@@ -576,19 +576,19 @@
         let queue = waits.get(at).copied().unwrap_or(0.0) / (aim - own).max(1.0);
         let doomed = doomed.max((queue - ORIGIN_SLOW) / (1.0 - ORIGIN_SLOW));
         let copy = pending.attempts.iter().any(|a| a.outcome.is_none()); // The origin may be what is slow.
-        let held_only = fill > 0.0 && (copy || self.chance(&asked.id) < doomed);
+        let cached_only = fill > 0.0 && (copy || self.chance(&asked.id) < doomed);
         let look = fill > 0.0 && self.link_full(own);
         let picked = if lost { self.listed(Role::Origin).next() } else { picked }; // To fetch from.
         let (fill, source) = if look { (0.0, cache) } else { (fill, picked.unwrap_or(cache)) };
         let ttfb = self.nodes[source].learned.ttfb.map_or(TTFB_START_MS, |(ms, _)| ms);
         let (expected, crowd) = (ttfb + own, self.crowd(now, cache));
-        let most = asked.most_attempts(self.settings.limits.max_attempts);
+        let most = asked.max_attempts(self.settings.limits.max_attempts);
         // Never answered in time, whoever serves it: better no link time spent on it.
         let unknown = !pending.seen && pending.attempts.iter().filter(|a| erred(a)).count() > 1;
-        let advised = tries == 0 && asked.refused().is_some();
+        let advised = tries == 0 && asked.refuse_retry_after_ms().is_some();
         // Overload: what can't be done within its aim is worth little and slows all others.
         let too_late = own * crowd > aim_left.max(class.aim_ms) && crowd > CROWDED;
-        let nowhere = (look || held_only) && missed;
+        let nowhere = (look || cached_only) && missed;
         let within = self.may_send_again(now, pending, cache).ok_or(Refusal::NoRepeat)?;
         let reasons = [
             (advised, Refusal::Advised),
@@ -605,20 +605,20 @@
         let again = tries + 1 < most && left - patience > expected;
         let called_off = self.settings.limits.cancelling; // Else a time-out must do for the check.
         let timeout_ms = if again && !called_off { patience } else { left };
-        let rank = if pending.seen { Keep::Middle } else { Keep::Low };
-        let rank = if self.mode(asked).is_some() { Keep::High } else { rank };
-        let keep = if class.uncached || asked.object.is_none() { Keep::No } else { rank };
+        let rank = if pending.seen { Retention::Middle } else { Retention::Low };
+        let rank = if self.mode(asked).is_some() { Retention::High } else { rank };
+        let keep = if class.uncached || asked.object.is_none() { Retention::NoStore } else { rank };
         let fetch = Fetch {
             id: asked.id.clone(),
             cache: self.nodes[cache].entry.cache.clone(),
             join: self.settings.joins && pending.attempts.iter().all(|a| a.cache != cache),
-            renew: class.fresh_ms.is_some(),
-            held_only,
+            background_refresh: class.fresh_ms.is_some(),
+            cached_only,
             timeout_ms,
             source: self.nodes[source].entry.cache.clone(),
-            max_age_ms: asked.oldest(self.max_age(now, pending, class)),
-            keep: asked.keep(keep),
-            within_ms: Some(within).filter(|ms| ms.is_finite()),
+            max_age_ms: asked.max_age_ms(self.max_age(now, pending, class)),
+            retention: asked.retention(keep),
+            send_within_ms: Some(within).filter(|ms| ms.is_finite()),
         };
         let check = if again && called_off { patience } else { f64::INFINITY };
         Ok((fetch, Attempt { cache, source, sent: now, check, fill, outcome: None, blamed: None }))
@@ -662,7 +662,7 @@
     }
 
     fn told(&self, node: &Node) -> Option<f64> {
-        (self.settings.weights != Weights::Silent).then(|| node.entry.rating / self.sharers(node.role))
+        (self.settings.weights != Weights::Unknown).then(|| node.entry.weight / self.sharers(node.role))
     }
 
     /// How many times slower than at full pace a cache would send with one more.
@@ -686,8 +686,8 @@
     fn warmth(&self, now: Millis, node: &Node) -> Option<f64> {
         let rules = &self.settings.guarantees;
         let (from, span) = match node.role {
-            Role::Edge | Role::Away => (rules.cold_from, rules.cold_ms),
-            Role::Parent => (rules.parent_cold_from, rules.parent_cold_ms),
+            Role::Edge | Role::Away => (rules.cold_start_share, rules.cold_start_ms),
+            Role::Parent => (rules.parent_cold_start_share, rules.parent_cold_start_ms),
             Role::Origin => return None,
         };
         let age = (now - node.started?).max(0.0);
@@ -699,7 +699,8 @@
     fn cold_budget(&self, now: Millis, at: NodeAt) -> Option<Millis> {
         let (node, rules) = (&self.nodes[at], &self.settings.guarantees);
         let share = self.warmth(now, node)?;
-        let most = if node.role == Role::Parent { rules.parent_fall_multiple } else { rules.fall_multiple };
+        let most =
+            if node.role == Role::Parent { rules.parent_overload_multiple } else { rules.overload_multiple };
         let capacity = self.told(node).unwrap_or(self.bears[node.role as usize]);
         Some((node.budget.0 + COLD_SPEND * most * share * capacity * (now - node.budget.1)).min(0.0))
     }
@@ -737,7 +738,7 @@
         let listed: Vec<NodeAt> = self.listed(Role::Edge).collect();
         let usable: Vec<NodeAt> = listed.iter().copied().filter(|at| self.usable(now, *at)).collect();
         let mut order = self.ordered(asked, if usable.is_empty() { listed } else { usable });
-        order.sort_by_key(|at| Reverse(asked.strength(&self.nodes[*at].entry.cache)));
+        order.sort_by_key(|at| Reverse(asked.preference(&self.nodes[*at].entry.cache)));
         if let Some(mode) = self.mode(asked) {
             let spread = &order[..order.len().min(1 + PEERS)];
             let trial = |at: &&NodeAt| !mode.ready.contains(at) && !mode.trying.contains(at);
@@ -789,7 +790,7 @@
         let Learned { ttfb, done, .. } = &self.nodes[source].learned;
         let quick = recent(*ttfb, now).is_none_or(|ms| ms < TTFB_START_MS) && self.crowd(now, cache) <= 1.0;
         let later = |(at, took): &&(Millis, Millis)| *at > sent && *took < spare;
-        let may = self.settings.limits.second_copies && class == Some(Repeat::Retryable) && !pending.hedged;
+        let may = self.settings.limits.hedging && class == Some(Repeat::Retryable) && !pending.hedged;
         let usual = done.iter().all(|(_, took)| *took < spare);
         may && quick && usual && self.nodes[cache].learned.done.iter().filter(later).count() > 2
     }
@@ -826,13 +827,13 @@
             piece(&pending.asked).and_then(|key| self.objects.remove(&key));
             self.all.current = self.all.current.saturating_sub(1);
         }
-        let (id, advised) = (id.clone(), pending.asked.refused());
+        let (id, advised) = (id.clone(), pending.asked.refuse_retry_after_ms());
         self.finish(&id);
         let limits = &self.settings.limits;
         let wait = advised.unwrap_or(limits.max_retry_after_ms * (1.0 + self.chance(&id)) / 2.0); // Spread.
-        let hold_off_ms = Some(wait).filter(|ms| limits.retry_after && *ms > 0.0);
+        let retry_after_ms = Some(wait).filter(|ms| limits.retry_after && *ms > 0.0);
         actions.push(if harmless {
-            Action::Refuse { id, hold_off_ms, reason }
+            Action::Refuse { id, retry_after_ms, reason }
         } else {
             Action::Fail { id, reason }
         });
@@ -874,13 +875,14 @@
         if let Some((_, came)) = news.then(|| latest.replace((result.report, now))).flatten() {
             feed(&mut self.renewed, now, (now - came).min(RECENT_MS));
         }
-        let guessed = self.settings.detail == Detail::Silent && !seen && result.outcome == Outcome::Ok;
-        let filled = guessed || matches!(result.note, Some(Note::Filled | Note::FilledFromOrigin));
-        let sourced = result.note.is_some_and(blames_source);
+        let guessed = self.settings.detail == Detail::None && !seen && result.outcome == Outcome::Ok;
+        let filled = guessed
+            || matches!(result.cache_status, Some(CacheStatus::Filled | CacheStatus::FilledFromOrigin));
+        let sourced = result.cache_status.is_some_and(blames_source);
         let (untold, full) = (self.settings.detail != Detail::All, result.outcome == Outcome::Full);
         // A cache that turns all away, as one that drains does, tells nothing of fills.
         let unserved = matches!(result.outcome, Outcome::Timeout | Outcome::Error)
-            || (full && (untold || result.note.is_some()));
+            || (full && (untold || result.cache_status.is_some()));
         let unfilled = unserved && (sourced || result.outcome != Outcome::Error);
         if cache != source && (filled || unfilled) {
             feed(&mut self.unfilled, now, f64::from(u8::from(!filled)));
@@ -889,7 +891,7 @@
         let failing = full && recent(self.unfilled, now) > Some(DOUBT);
         let failing = failing || result.outcome == Outcome::Error && !again;
         let sourced = sourced || self.settings.detail == Detail::Hit && cache != source && failing;
-        let told = self.settings.detail != Detail::Silent || cache == source;
+        let told = self.settings.detail != Detail::None || cache == source;
         if told && matches!(result.outcome, Outcome::Ok | Outcome::Miss) {
             let share = &mut self.miss_share[usize::from(seen)];
             let missed = filled || result.outcome == Outcome::Miss;
@@ -902,31 +904,33 @@
             Outcome::Ok => {
                 for at in [Some(cache), Some(source).filter(|_| filled)].into_iter().flatten() {
                     self.nodes[at].learned.done.rotate_right(1);
-                    self.nodes[at].learned.done[0] = (sent, result.waited_ms - own);
+                    self.nodes[at].learned.done[0] = (sent, result.elapsed_ms - own);
                 }
                 self.served[self.nodes[cache].role as usize] += own;
                 self.succeeded(now, cache, actions);
-                if result.note == Some(Note::Hit) {
+                if result.cache_status == Some(CacheStatus::Hit) {
                     let usual = own + TTFB_START_MS / 5.0;
-                    feed(&mut self.nodes[cache].learned.pace, now, result.waited_ms / usual);
+                    feed(&mut self.nodes[cache].learned.pace, now, result.elapsed_ms / usual);
                 }
                 if filled {
-                    let sending = result.waited_ms - result.source_wait_ms.unwrap_or(0.0);
+                    let sending = result.elapsed_ms - result.source_ttfb_ms.unwrap_or(0.0);
                     self.served[self.nodes[source].role as usize] += own;
                     self.succeeded(now, source, actions);
-                    let ttfb = result.source_wait_ms.unwrap_or((result.waited_ms - own).max(0.0));
+                    let ttfb = result.source_ttfb_ms.unwrap_or((result.elapsed_ms - own).max(0.0));
                     feed(&mut self.nodes[source].learned.ttfb, now, ttfb);
-                    if result.note == Some(Note::FilledFromOrigin) || untold && result.note.is_some() {
+                    if result.cache_status == Some(CacheStatus::FilledFromOrigin)
+                        || untold && result.cache_status.is_some()
+                    {
                         self.origin_waits.rotate_right(1);
                         self.origin_waits[0] = (ttfb, now);
                     }
-                    if telling && fill > 0.0 && result.source_wait_ms.is_some() {
+                    if telling && fill > 0.0 && result.source_ttfb_ms.is_some() {
                         learn(&mut self.fills_fit, own, sending, self.fills + 1.0);
                         feed(&mut self.nodes[source].learned.pace, now, sending / own);
                     }
                 } else if telling {
                     let node = &mut self.nodes[cache];
-                    learn(&mut node.learned.room, own, result.waited_ms, node.inflight as f64 + 1.0);
+                    learn(&mut node.learned.room, own, result.elapsed_ms, node.inflight as f64 + 1.0);
                 }
                 None
             }
@@ -941,7 +945,7 @@
             // An error may be the request's own fault, until another serves it; one break counts once.
             let told = result.outcome == Outcome::Reset && self.nodes[at].health.broke > Some(sent);
             if !(told || result.outcome == Outcome::Error && at == cache) {
-                let lost = result.note == Some(Note::SourceLost);
+                let lost = result.cache_status == Some(CacheStatus::SourceUnavailable);
                 self.failed(now, at, if lost { Outcome::Error } else { result.outcome }, actions);
             }
         }
@@ -1034,6 +1038,12 @@
     attempt.outcome == Some(Outcome::Error) && attempt.blamed == Some(attempt.cache)
 }
 
-fn blames_source(note: Note) -> bool {
-    matches!(note, Note::SourceRefused | Note::SourceLost | Note::SourceLacks | Note::OriginFailed)
+fn blames_source(note: CacheStatus) -> bool {
+    matches!(
+        note,
+        CacheStatus::SourceRefused
+            | CacheStatus::SourceUnavailable
+            | CacheStatus::SourceMiss
+            | CacheStatus::OriginFailed
+    )
 }
--- a/src/reducer/gate.rs
+++ b/src/reducer/gate.rs
@@ -35,7 +35,7 @@
             (!serves(&out.cache), Withheld::EndpointLeaves),
             (!serves(&out.source), Withheld::SourceLeaves),
             (fragile && (held.may_have_run || others().any(begun)), Withheld::MayHaveRun),
-            (!self.settings.limits.second_copies && others().any(begun), Withheld::TwoAtOnce),
+            (!self.settings.limits.hedging && others().any(begun), Withheld::TwoAtOnce),
             (now > out.leave_by, Withheld::TooLate),
             (limit_ms < 1.0, Withheld::OutOfTime),
         ];
--- a/src/reducer/machines.rs
+++ b/src/reducer/machines.rs
@@ -78,7 +78,7 @@
             let since = start.map(|start| start.at);
             let was = self.members.insert(name.clone(), Member { phase: listed.phase, start, told: now });
             let address = (listed.phase != Phase::Deleted).then_some(listed.address);
-            let cold_until = since.map(|at| at + self.settings.guarantees.cold_ms);
+            let cold_until = since.map(|at| at + self.settings.guarantees.cold_start_ms);
             let listing = Listing { phase: listed.phase, address, cold_until };
             self.effects.push(Effect::Listed { member: name.clone(), listing: Some(listing) });
             if listed.phase != Phase::Serving {
@@ -95,13 +95,13 @@
                 kind: listed.kind,
                 cell: listed.cell,
                 zone: listed.zone,
-                rating: listed.weight,
+                weight: listed.weight,
                 phase: listed.phase,
                 online_since: since,
             });
         }
         let mode = match (whole, self.listed) {
-            (true, false) => ListMode::Held,
+            (true, false) => ListMode::Cached,
             (true, true) => ListMode::Full,
             (false, _) => ListMode::Changes,
         };
@@ -205,7 +205,7 @@
             forwards: self.counters.attempts,
             outstanding: self.held.len(),
             discovered: self.members.values().filter(|member| member.phase == Phase::Serving).count(),
-            ejected: self.module.ejected(),
+            ejected: self.module.ejected_count(),
             reloads: [self.counters.reloads, self.counters.reloads_refused],
             fleet: None, // The reducer knows of no other routers.
         }
@@ -219,8 +219,8 @@
     /// Spends this part of the cold budget from now on.
     pub(super) fn cold_part(&mut self, part: f64) {
         let mut rules = self.settings.guarantees.clone();
-        rules.fall_multiple *= part;
-        rules.parent_fall_multiple *= part;
+        rules.overload_multiple *= part;
+        rules.parent_overload_multiple *= part;
         self.module.set_guarantees(rules);
     }
 }
--- a/src/reducer/mod.rs
+++ b/src/reducer/mod.rs
@@ -354,8 +354,8 @@
     fn act(&mut self, now: Millis, action: Action) {
         match action {
             Action::Fetch(fetch) => self.send(now, fetch),
-            Action::Refuse { id, hold_off_ms, reason } => {
-                self.answer(now, &id, Reply::Refused { hold_off_ms, reason });
+            Action::Refuse { id, retry_after_ms, reason } => {
+                self.answer(now, &id, Reply::Refused { retry_after_ms, reason });
             }
             Action::Fail { id, reason } => self.answer(now, &id, Reply::Failed(Failure::GivenUp(reason))),
             Action::Abandon { id, attempt } => {
--- a/src/reducer/requests.rs
+++ b/src/reducer/requests.rs
@@ -119,7 +119,7 @@
         self.counters.refused += 1;
         self.counters.reasons.refusals.add(reason);
         self.results.count(class, ops::Disposition::Declined);
-        let reply = Reply::Refused { hold_off_ms: None, reason };
+        let reply = Reply::Refused { retry_after_ms: None, reason };
         self.effects.push(Effect::Answer { client, reply });
     }
 
@@ -129,7 +129,7 @@
         self.counters.taken += 1;
         self.counters.refused += 1;
         self.counters.reasons.refusals.add(reason);
-        let reply = Reply::Refused { hold_off_ms: None, reason };
+        let reply = Reply::Refused { retry_after_ms: None, reason };
         self.effects.push(Effect::Answer { client, reply });
     }
 
@@ -140,11 +140,11 @@
         let id = held.id.clone();
         let reason = self.service.refuses(now).unwrap_or(Refusal::Draining);
         let reply = if self.refusal_is_harmless(held) {
-            Reply::Refused { hold_off_ms: None, reason }
+            Reply::Refused { retry_after_ms: None, reason }
         } else {
             Reply::Failed(Failure::GivenUp(reason))
         };
-        self.events.push_back(Event::Dropped { id: id.clone() });
+        self.events.push_back(Event::Aborted { id: id.clone() });
         self.answer(now, &id, reply);
     }
 
@@ -154,7 +154,7 @@
         self.counters.aborted += 1;
         self.results.count(&held.ask.class, ops::Disposition::Aborted);
         self.clients.remove(&held.id);
-        self.events.push_back(Event::Dropped { id: held.id });
+        self.events.push_back(Event::Aborted { id: held.id });
         self.stop_all(now, held.out, Outcome::Cancelled, true);
     }
 
@@ -218,7 +218,7 @@
         let key = self.next_attempt;
         held.out.push(key);
         let unsent_ms = UNSENT_DIALS * self.net.dial_timeout_ms;
-        let leave_by = now + fetch.within_ms.map_or(unsent_ms, |within| within.min(unsent_ms));
+        let leave_by = now + fetch.send_within_ms.map_or(unsent_ms, |within| within.min(unsent_ms));
         let out = Out {
             client,
             id: fetch.id.clone(),
@@ -256,7 +256,7 @@
 
     /// An attempt that may be at work was given up from this side: the next one keeps apart, where it must.
     fn keep_apart(&mut self, now: Millis, client: Client) {
-        if !self.settings.limits.second_copies {
+        if !self.settings.limits.hedging {
             self.held.entry(client).and_modify(|held| held.apart = now + APART_MS);
         }
     }
@@ -310,10 +310,10 @@
             attempt: out.number,
             cache: out.cache,
             outcome,
-            waited_ms: now - out.sent,
+            elapsed_ms: now - out.sent,
             last,
-            note: answer.and_then(|answer| answer.note),
-            source_wait_ms: answer.and_then(|answer| answer.source_wait_ms),
+            cache_status: answer.and_then(|answer| answer.cache_status),
+            source_ttfb_ms: answer.and_then(|answer| answer.source_ttfb_ms),
             report: answer.map(|answer| answer.report).unwrap_or_default(),
             size_kb: answer
                 .filter(|answer| !answer.unchanged)
@@ -369,7 +369,7 @@
                 if fragile {
                     Reply::Failed(Failure::AnswerDropped)
                 } else {
-                    Reply::Refused { hold_off_ms: None, reason: Refusal::AnswerDropped }
+                    Reply::Refused { retry_after_ms: None, reason: Refusal::AnswerDropped }
                 }
             } else {
                 Reply::Served(answer.body)
@@ -412,7 +412,7 @@
     /// Fails a request, whatever the module has in mind with it.
     pub(super) fn fail(&mut self, now: Millis, client: Client, failure: Failure) {
         let Some(id) = self.held.get(&client).map(|held| held.id.clone()) else { return };
-        self.events.push_back(Event::Dropped { id: id.clone() });
+        self.events.push_back(Event::Aborted { id: id.clone() });
         self.answer(now, &id, Reply::Failed(failure));
     }
 }
--- a/src/reducer/words.rs
+++ b/src/reducer/words.rs
@@ -81,9 +81,9 @@
     /// The client's copy is the one.
     pub unchanged: bool,
     /// What the machine says of it.
-    pub note: Option<Note>,
+    pub cache_status: Option<CacheStatus>,
     /// The source's time to first byte, or to its failure.
-    pub source_wait_ms: Option<Millis>,
+    pub source_ttfb_ms: Option<Millis>,
     /// A load report that came along.
     pub report: LoadReport,
 }
@@ -225,7 +225,7 @@
     /// Refused: a retry does no harm.
     Refused {
         /// When to come back.
-        hold_off_ms: Option<Millis>,
+        retry_after_ms: Option<Millis>,
         /// Why.
         reason: Refusal,
     },
--- a/tests/addresses.rs
+++ b/tests/addresses.rs
@@ -260,13 +260,13 @@
         id: id.into(),
         cache: "a".into(),
         join: false,
-        renew: false,
-        held_only: false,
+        background_refresh: false,
+        cached_only: false,
         timeout_ms: 900.0,
         source: "a".into(),
         max_age_ms: None,
-        keep: frostturn::api::Keep::No,
-        within_ms: None,
+        retention: frostturn::api::Retention::NoStore,
+        send_within_ms: None,
     };
     Call { ask: ask.into(), fetch, alone, leave_by: f64::INFINITY, cause: AttemptCause::First }
 }
--- a/tests/clock_steps.rs
+++ b/tests/clock_steps.rs
@@ -90,7 +90,7 @@
 #[test]
 fn an_endpoint_that_has_started_late_is_cold_for_its_time_however_the_wall_clock_steps() {
     let heard = 2000.0;
-    let cold_ms = settings().guarantees.cold_ms;
+    let cold_start_ms = settings().guarantees.cold_start_ms;
     for (step_ms, step_at) in steps_around(heard) {
         let mut router = Router::new(step_ms, step_at);
         let started = heard - UNDER_WAY_MS;
@@ -104,7 +104,7 @@
         };
         let effects = router.hears(heard, Word::Pool { whole: false, machines: vec![entry()] });
         let until = told(&effects).expect("it is cold");
-        let (least, most) = (started + cold_ms - 1.0, heard + cold_ms + 1.0);
+        let (least, most) = (started + cold_start_ms - 1.0, heard + cold_start_ms + 1.0);
         assert!((least..=most).contains(&until), "a step of {step_ms} at {step_at}: until {until}");
         // Told again, it is the same start, and nothing that was connected since is dead.
         let effects = router.hears(heard + 1000.0, Word::Pool { whole: false, machines: vec![entry()] });
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -47,13 +47,13 @@
         weights: Weights::Nominal,
         guarantees: Guarantees {
             stop_sending_ms: 1000.0,
-            cold_from: 0.2,
-            cold_ms: 10_000.0,
-            fall_multiple: 2.0,
+            cold_start_share: 0.2,
+            cold_start_ms: 10_000.0,
+            overload_multiple: 2.0,
             overload_ms: 1000.0,
-            parent_cold_from: 0.1,
-            parent_cold_ms: 20_000.0,
-            parent_fall_multiple: 2.0,
+            parent_cold_start_share: 0.1,
+            parent_cold_start_ms: 20_000.0,
+            parent_overload_multiple: 2.0,
             purge_notice_ms: 500.0,
             purge_gone_ms: 6000.0,
             ..Guarantees::default()
@@ -75,7 +75,7 @@
         kind: kind.into(),
         cell: 0,
         zone: zone.into(),
-        rating: 8.0,
+        weight: 8.0,
         phase: Phase::Serving,
         online_since: None,
     }
@@ -104,7 +104,7 @@
     pub fn seeded(settings: Settings, fleet: Vec<ListEntry>, seed: u64) -> Self {
         let now = START_MS;
         let mut driver = Self { router: Router::new(settings, seed, now), now, next: 0, log: Vec::new() };
-        driver.send(Event::List { mode: ListMode::Held, entries: fleet });
+        driver.send(Event::List { mode: ListMode::Cached, entries: fleet });
         driver
     }
 
@@ -167,41 +167,47 @@
         fetch: &Fetch,
         attempt: usize,
         outcome: Outcome,
-        note: Option<Note>,
+        cache_status: Option<CacheStatus>,
     ) -> Vec<Action> {
         self.send(Event::Result(AttemptResult {
             id: fetch.id.clone(),
             attempt,
             cache: fetch.cache.clone(),
             outcome,
-            waited_ms: 20.0,
+            elapsed_ms: 20.0,
             last: outcome == Outcome::Ok,
-            note,
-            source_wait_ms: note.map(|_| 15.0),
+            cache_status,
+            source_ttfb_ms: cache_status.map(|_| 15.0),
             report: LoadReport::default(),
             size_kb: None,
         }))
     }
 
     /// Its first attempt is answered after so long, of which its source took so much.
-    pub fn served(&mut self, fetch: &Fetch, note: Note, waited_ms: Millis, source_wait_ms: Option<Millis>) {
+    pub fn served(
+        &mut self,
+        fetch: &Fetch,
+        cache_status: CacheStatus,
+        elapsed_ms: Millis,
+        source_ttfb_ms: Option<Millis>,
+    ) {
         self.send(Event::Result(AttemptResult {
             id: fetch.id.clone(),
             attempt: 0,
             cache: fetch.cache.clone(),
             outcome: Outcome::Ok,
-            waited_ms,
+            elapsed_ms,
             last: true,
-            note: Some(note),
-            source_wait_ms,
+            cache_status: Some(cache_status),
+            source_ttfb_ms,
             report: LoadReport::default(),
             size_kb: None,
         }));
     }
 
-    pub fn serve(&mut self, class: usize, object: &str, note: Note) -> Fetch {
+    pub fn serve(&mut self, class: usize, object: &str, cache_status: CacheStatus) -> Fetch {
         let fetch = fetch(&self.ask(class, object));
-        self.end(&fetch, 0, Outcome::Ok, Some(note));
+        self.end(&fetch, 0, Outcome::Ok, Some(cache_status));
         fetch
     }
 }
--- a/tests/connections.rs
+++ b/tests/connections.rs
@@ -296,7 +296,7 @@
     for serial in 2..300 {
         let at = 100.0 + 200.0 * serial as f64;
         whole(conn.receive(at, &asking(2, "/ops/page", ID, b""))).expect("well-formed");
-        assert!(conn.answer(serial, &Reply::Refused { hold_off_ms: None, reason: Refusal::Draining }));
+        assert!(conn.answer(serial, &Reply::Refused { retry_after_ms: None, reason: Refusal::Draining }));
         if conn.standing(at) != Standing::Good {
             break;
         }
@@ -461,13 +461,13 @@
         id: id.into(),
         cache: "m".into(),
         join: true,
-        renew: true,
-        held_only: false,
+        background_refresh: true,
+        cached_only: false,
         timeout_ms: 900.2,
         source: "p".into(),
         max_age_ms: Some(15.9),
-        keep: Keep::Middle,
-        within_ms: None,
+        retention: Retention::Middle,
+        send_within_ms: None,
     };
     Call { ask: ask.into(), fetch, alone: false, leave_by: f64::INFINITY, cause: AttemptCause::First }
 }
@@ -496,8 +496,8 @@
         heard.extend(one);
     }
     let [Back::Answer(5, answer)] = &heard[..] else { panic!("{heard:?}") };
-    assert_eq!((answer.outcome, answer.note), (Outcome::Ok, Some(Note::FilledFromOrigin)));
-    assert_eq!((answer.source_wait_ms, answer.body.as_slice()), (Some(9.5), &b"bytes\r\n"[..]));
+    assert_eq!((answer.outcome, answer.cache_status), (Outcome::Ok, Some(CacheStatus::FilledFromOrigin)));
+    assert_eq!((answer.source_ttfb_ms, answer.body.as_slice()), (Some(9.5), &b"bytes\r\n"[..]));
     assert_eq!((answer.report.util, answer.report.link), (Some(0.61), None));
     assert_eq!(links.receive(9.0, key, &reply("a", "DONE")).0, [Back::Late], "a second copy");
     assert_eq!(links.receive(9.0, key, &reply("never", "DONE")).0, [Back::Unknown], "an id never issued");
--- a/tests/plugins.rs
+++ b/tests/plugins.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::listed;
-use frostturn::api::{CacheId, ClassSettings, Keep, Limits, Phase, Repeat, Settings};
+use frostturn::api::{CacheId, ClassSettings, Limits, Phase, Repeat, Retention, Settings};
 use frostturn::board::{Listed, Notice, Word};
 use frostturn::clock::UnixTime;
 use frostturn::plugins::engine::{Fault, Hook, Instance};
@@ -205,14 +205,14 @@
         let [one, other] = both;
         let narrowed = one.merge(other);
         let advice = &narrowed.advice;
-        for (name, strength) in &advice.strengths {
+        for (name, strength) in &advice.preferences {
             let at = names.iter().position(|known| known == name).expect("an allowed machine");
             assert!(strength.abs() <= 100 && (*strength <= 0 || cold & (1 << at) == 0));
         }
         assert!(advice.max_attempts.is_none_or(|n| n >= 1 && n <= limits.max_attempts.max(1)));
         assert!(advice.max_age_ms.is_none_or(|ms| !class.uncached && (1.0..=8000.0).contains(&ms)));
-        assert!(advice.keep.is_none_or(|keep| !class.uncached && keep as u8 <= Keep::High as u8));
-        let refused = advice.refuse;
+        assert!(advice.retention.is_none_or(|keep| !class.uncached && keep as u8 <= Retention::High as u8));
+        let refused = advice.refuse_retry_after_ms;
         assert!(refused.is_none_or(|ms| may_refuse && class.repeat != Repeat::Fragile && ms <= 3000.0));
         narrowed.labels.iter().all(|label| label.len() <= 32)
     }
@@ -319,8 +319,8 @@
         outcome: frostturn::api::Outcome::Ok,
         body: vec![1],
         unchanged: false,
-        note: Some(frostturn::api::Note::Hit),
-        source_wait_ms: None,
+        cache_status: Some(frostturn::api::CacheStatus::Hit),
+        source_ttfb_ms: None,
         report: frostturn::api::LoadReport::default(),
     })
 }
--- a/tests/reducer.rs
+++ b/tests/reducer.rs
@@ -26,7 +26,7 @@
     let since_unix_ms = since_unix_ms.map(UnixTime);
     let entry = entry(name, kind, zone);
     let address = ([127, 0, 0, 1], 7000 + name.len() as u16).into();
-    let (name, cell, weight) = (name.to_owned(), entry.cell, entry.rating);
+    let (name, cell, weight) = (name.to_owned(), entry.cell, entry.weight);
     Listed { name, address, zone: entry.zone, kind: entry.kind, cell, weight, phase, since_unix_ms }
 }
 
@@ -90,8 +90,8 @@
         body: usize,
         unchanged: bool,
     ) -> Vec<Effect> {
-        let (note, source_wait_ms, report) = (None, None, LoadReport::default());
-        let answer = Answer { outcome, body: vec![1; body], unchanged, note, source_wait_ms, report };
+        let (cache_status, source_ttfb_ms, report) = (None, None, LoadReport::default());
+        let answer = Answer { outcome, body: vec![1; body], unchanged, cache_status, source_ttfb_ms, report };
         self.step(Input::Ended { attempt, end: End::Answer(answer) })
     }
 
@@ -165,7 +165,7 @@
         let effects = rig.wait(25.0);
         assert!(has(&effects, &Effect::Stop { attempt }));
         match &replies(&effects)[..] {
-            [Reply::Refused { hold_off_ms: Some(_), .. }] if refused => {}
+            [Reply::Refused { retry_after_ms: Some(_), .. }] if refused => {}
             [Reply::Failed(_)] if !refused => {}
             other => panic!("{class}: {other:?}"),
         }
@@ -194,10 +194,10 @@
 
 #[test]
 fn without_second_copies_the_next_attempt_keeps_apart_from_one_that_was_given_up() {
-    for second_copies in [false, true] {
+    for hedging in [false, true] {
         let mut rig = Rig::new();
         let mut settings = settings();
-        settings.limits.second_copies = second_copies;
+        settings.limits.hedging = hedging;
         let net = Net { dial_timeout_ms: 2000.0, ..net() };
         rig.reducer = Reducer::new(settings, net, 1, START_MS, UnixTime(UNIX_MS));
         let machines = ["e1", "e2"].map(|name| listed(name, "edge", "east", Phase::Serving, None)).into();
@@ -212,7 +212,7 @@
         let now = rig.lost(first, Progress::WrittenWhole);
         let early = [now, rig.wait(48.0)].concat();
         let late = rig.wait(4.0);
-        let (at_once, then) = if second_copies { (early, late) } else { (late, early) };
+        let (at_once, then) = if hedging { (early, late) } else { (late, early) };
         let (again, _) = sent(&at_once);
         assert!(!then.iter().any(|effect| matches!(effect, Effect::Send { .. })));
         rig.answered(again, Outcome::Ok, 3, false);
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -8,7 +8,7 @@
 #[test]
 fn a_drained_cache_or_source_gets_nothing_from_the_word_on() {
     let mut driver = Driver::usual();
-    let sent = driver.serve(READ, "song", Note::Filled);
+    let sent = driver.serve(READ, "song", CacheStatus::Filled);
     let changed = |name: &CacheId, kind: &str, zone: &str, phase| ListEntry {
         phase,
         ..entry(name.as_str(), kind, zone)
@@ -21,14 +21,14 @@
     for turn in 0..50 {
         let next = fetch(&driver.ask(READ, &format!("song{turn}")));
         assert!(next.cache != sent.cache && next.source != sent.source);
-        driver.end(&next, 0, Outcome::Ok, Some(Note::Filled));
+        driver.end(&next, 0, Outcome::Ok, Some(CacheStatus::Filled));
     }
     let entries = fleet().into_iter().filter(|entry| entry.cache.as_str() != "p1").collect();
     driver.send(Event::List { mode: ListMode::Full, entries });
     for turn in 0..50 {
         let next = fetch(&driver.ask(READ, &format!("tune{turn}")));
         assert_ne!(next.source.as_str(), "p1", "absent from a full list");
-        driver.end(&next, 0, Outcome::Ok, Some(Note::Filled));
+        driver.end(&next, 0, Outcome::Ok, Some(CacheStatus::Filled));
     }
 }
 
@@ -107,7 +107,7 @@
         let next = fetch(&driver.ask(READ, &format!("o{turn}")));
         *sent.entry(next.cache.to_string()).or_default() += 10.0;
         *sent.entry(next.source.to_string()).or_default() += 10.0;
-        driver.end(&next, 0, Outcome::Ok, Some(Note::Filled));
+        driver.end(&next, 0, Outcome::Ok, Some(CacheStatus::Filled));
         driver.now += 2.0;
     }
     // 8 transfers, 0.2 (0.1) of them, the fall multiple 2, one second; two routers send to a parent.
@@ -120,10 +120,10 @@
 fn keyed_requests_are_resent_only_within_their_window() {
     let mut driver = Driver::usual();
     let first = fetch(&driver.ask(KEYED, "bid"));
-    assert_eq!(first.within_ms, None, "a first attempt may leave when it can");
+    assert_eq!(first.send_within_ms, None, "a first attempt may leave when it can");
     driver.now += 500.0;
     let second = fetch(&driver.end(&first, 0, Outcome::Error, None));
-    assert_eq!(second.within_ms, Some(500.0), "what is left of the window when it is decided");
+    assert_eq!(second.send_within_ms, Some(500.0), "what is left of the window when it is decided");
     driver.now += 600.0;
     assert!(refused(&driver.end(&second, 1, Outcome::Error, None)));
 }
@@ -140,7 +140,7 @@
 fn a_bad_source_is_not_held_against_the_cache() {
     let mut driver = Driver::usual();
     let first = fetch(&driver.ask(READ, "song"));
-    let second = fetch(&driver.end(&first, 0, Outcome::Full, Some(Note::SourceLost)));
+    let second = fetch(&driver.end(&first, 0, Outcome::Full, Some(CacheStatus::SourceUnavailable)));
     assert_eq!(second.cache, first.cache);
     assert_ne!(second.source, first.source);
 }
@@ -174,7 +174,7 @@
     let slow = fetch(&driver.ask(READ, "song"));
     for turn in 0..30 {
         let other = fetch(&driver.ask(READ, &format!("o{turn}")));
-        driver.end(&other, 0, Outcome::Ok, Some(Note::Filled));
+        driver.end(&other, 0, Outcome::Ok, Some(CacheStatus::Filled));
         let cut = driver.wait(100.0).contains(&Action::Abandon { id: slow.id.clone(), attempt: 0 });
         assert!(!cut, "called off after {} ms", driver.now);
     }
@@ -185,8 +185,8 @@
     // The link carries ten transfers; nothing comes back for a while.
     let mut driver = Driver::usual();
     for turn in 0..4 {
-        driver.serve(READ, "held", Note::Hit);
-        driver.serve(READ, &format!("small{turn}"), Note::Filled);
+        driver.serve(READ, "held", CacheStatus::Hit);
+        driver.serve(READ, &format!("small{turn}"), CacheStatus::Filled);
     }
     let mut out = 0;
     // A first-seen piece is looked for as well, since another router may have had it fetched.
@@ -210,7 +210,7 @@
     let mut driver = Driver::usual();
     let dead = fetch(&driver.ask(READ, "song"));
     let next = fetch(&driver.end(&dead, 0, Outcome::ConnectFailed, None));
-    driver.end(&next, 1, Outcome::Ok, Some(Note::Filled));
+    driver.end(&next, 1, Outcome::Ok, Some(CacheStatus::Filled));
     let again = fetch(&driver.ask(READ, "song"));
     driver.end(&again, 0, Outcome::ConnectFailed, None);
     assert!(driver.log.iter().any(|line| line.contains("ejected")));
@@ -218,7 +218,7 @@
     let trial = fetch(&driver.ask(READ, "song"));
     assert_eq!(trial.cache, dead.cache, "a single trial");
     assert_ne!(fetch(&driver.ask(READ, "song")).cache, dead.cache, "and only one");
-    driver.end(&trial, 0, Outcome::Ok, Some(Note::Filled));
+    driver.end(&trial, 0, Outcome::Ok, Some(CacheStatus::Filled));
     let sent = (0..400).filter(|_| fetch(&driver.ask_sized(READ, "song", 100.0)).cache == dead.cache).count();
     assert!(sent < 400, "the cold budget holds");
 }
@@ -245,7 +245,7 @@
         let sent = fetch(&driver.ask(READ, &format!("song{turn}")));
         if sent.cache.as_str() == "e1" {
             let next = fetch(&driver.end(&sent, 0, Outcome::Error, None));
-            driver.end(&next, 1, Outcome::Ok, Some(Note::Filled));
+            driver.end(&next, 1, Outcome::Ok, Some(CacheStatus::Filled));
         }
     }
     assert!(driver.log.iter().any(|line| line == "e1 ejected"), "{:?}", driver.log);
@@ -256,7 +256,7 @@
     let mut driver = Driver::usual();
     for _ in 0..3 {
         let first = fetch(&driver.ask(READ, "none"));
-        assert_eq!(first.keep, Keep::Low, "not seen before");
+        assert_eq!(first.retention, Retention::Low, "not seen before");
         let second = fetch(&driver.end(&first, 0, Outcome::Error, None));
         assert!(refused(&driver.end(&second, 1, Outcome::Error, None)));
     }
@@ -264,14 +264,14 @@
 
 #[test]
 fn an_answer_that_never_comes_is_made_up_for_by_one_second_copy() {
-    let limits = Limits { second_copies: true, ..settings().limits };
+    let limits = Limits { hedging: true, ..settings().limits };
     let settings = Settings { limits, ..settings() };
     // All others are answered by the same cache and source, so these aren't silent.
     let lost = |class: usize, number: usize| {
         let mut driver = Driver::new(settings.clone(), fleet());
         driver.now += 10.0;
         for turn in 0..400 {
-            driver.serve(READ, &format!("early{turn}"), Note::Filled);
+            driver.serve(READ, &format!("early{turn}"), CacheStatus::Filled);
             driver.now += 50.0;
         }
         let lost: Vec<Fetch> =
@@ -279,7 +279,7 @@
         let mut copies = Vec::new();
         for turn in 0..30 {
             let other = fetch(&driver.ask(READ, &format!("o{turn}")));
-            driver.end(&other, 0, Outcome::Ok, Some(Note::Filled));
+            driver.end(&other, 0, Outcome::Ok, Some(CacheStatus::Filled));
             copies.extend(driver.wait(100.0).into_iter().filter(|action| matches!(action, Action::Fetch(_))));
         }
         (driver, lost, copies)
@@ -288,9 +288,9 @@
     let copy = fetch(&copies);
     assert_eq!((copies.len(), &copy.id), (1, &first[0].id), "one");
     assert_ne!(copy.cache, first[0].cache, "where the first is, it may be slow");
-    assert!(copy.held_only, "the origin may be what is slow");
+    assert!(copy.cached_only, "the origin may be what is slow");
     assert_eq!(driver.end(&copy, 1, Outcome::Miss, None), [], "the first may still be answered");
-    assert!(!fetch(&driver.end(&first[0], 0, Outcome::Timeout, None)).held_only, "and then it goes on");
+    assert!(!fetch(&driver.end(&first[0], 0, Outcome::Timeout, None)).cached_only, "and then it goes on");
     assert!(lost(FRAGILE, 1).2.is_empty(), "it would run twice");
     let (_, _, copies) = lost(READ, 26);
     assert!(copies.len() >= 8 && copies.len() <= 14, "where many are slow it is load: {}", copies.len());
@@ -307,8 +307,8 @@
             asked += 1;
             (sent, attempt) = (fetch(&driver.end(&sent, 0, Outcome::Full, None)), 1);
         }
-        assert!(!sent.held_only && sent.cache.as_str() != "e1", "{sent:?}");
-        driver.end(&sent, attempt, Outcome::Ok, Some(Note::Filled));
+        assert!(!sent.cached_only && sent.cache.as_str() != "e1", "{sent:?}");
+        driver.end(&sent, attempt, Outcome::Ok, Some(CacheStatus::Filled));
     }
     assert!(asked > 5 && asked < 12, "{asked}");
 }
@@ -321,8 +321,8 @@
     for turn in 0..20 {
         let sent = fetch(&driver.ask(READ, &format!("song{turn}")));
         if sent.source.as_str() == "p1" {
-            let next = fetch(&driver.end(&sent, 0, Outcome::Full, Some(Note::SourceLost)));
-            driver.end(&next, 1, Outcome::Ok, Some(Note::Filled));
+            let next = fetch(&driver.end(&sent, 0, Outcome::Full, Some(CacheStatus::SourceUnavailable)));
+            driver.end(&next, 1, Outcome::Ok, Some(CacheStatus::Filled));
         }
     }
     assert_eq!(driver.log, ["p1 ejected"]);
@@ -371,7 +371,13 @@
         Outcome::Moot,
         Outcome::Miss,
     ];
-    let notes = [None, Some(Note::Hit), Some(Note::NoFillPlace), Some(Note::SourceLost), Some(Note::Stale)];
+    let notes = [
+        None,
+        Some(CacheStatus::Hit),
+        Some(CacheStatus::NoFillSlot),
+        Some(CacheStatus::SourceUnavailable),
+        Some(CacheStatus::Stale),
+    ];
     let run = |seed: u64, settings: Settings| {
         let mut state = seed.wrapping_mul(0x9E37_79B9_7F4A_7C15) | 1;
         let mut chance = |most: u64| {
@@ -408,7 +414,7 @@
                     entries.retain(|entry| entry.cache.as_str() != name);
                     driver.send(Event::List { mode: ListMode::Full, entries })
                 }
-                10 => driver.send(Event::Dropped { id: format!("r{}", turn * 7).as_str().into() }),
+                10 => driver.send(Event::Aborted { id: format!("r{}", turn * 7).as_str().into() }),
                 _ => driver.wait(chance(3) as f64 * 150.0),
             };
             for action in &actions {
@@ -462,13 +468,13 @@
         id: "ghost".into(),
         cache: "nowhere".into(),
         join: false,
-        renew: false,
-        held_only: false,
+        background_refresh: false,
+        cached_only: false,
         timeout_ms: 1.0,
         source: "nowhere".into(),
         max_age_ms: None,
-        keep: Keep::No,
-        within_ms: None,
+        retention: Retention::NoStore,
+        send_within_ms: None,
     };
     assert!(driver.end(&ghost, 3, Outcome::Ok, None).is_empty());
     let mut nobody = Driver::new(settings(), Vec::new());
@@ -477,10 +483,10 @@
 
 #[test]
 fn a_location_that_comes_back_cold_as_a_whole_is_used_by_what_it_bore_before() {
-    let settings = Settings { weights: Weights::Silent, ..settings() };
+    let settings = Settings { weights: Weights::Unknown, ..settings() };
     let mut driver = Driver::new(settings, fleet());
     for turn in 0..2000 {
-        driver.serve(READ, &format!("o{}", turn % 50), Note::Hit);
+        driver.serve(READ, &format!("o{}", turn % 50), CacheStatus::Hit);
         driver.wait(if turn % 20 == 0 { 100.0 } else { 0.0 });
     }
     let mut list = fleet();
@@ -509,7 +515,7 @@
         driver.now += 50.0;
         driver.served(
             &sent,
-            Note::Filled,
+            CacheStatus::Filled,
             if slow { 2000.0 } else { 120.0 },
             Some(if slow { 5.0 } else { 20.0 }),
         );
@@ -523,7 +529,7 @@
     for turn in 0..30 {
         let mut sent = fetch(&driver.ask(READ, &format!("gone{turn}")));
         for attempt in 0.. {
-            let actions = driver.end(&sent, attempt, Outcome::Full, Some(Note::OriginFailed));
+            let actions = driver.end(&sent, attempt, Outcome::Full, Some(CacheStatus::OriginFailed));
             if refused(&actions) {
                 break;
             }
@@ -533,21 +539,21 @@
     }
     let sent: Vec<Fetch> = (0..40).map(|turn| fetch(&driver.ask(PAGE, &format!("page{turn}")))).collect();
     assert!(sent.iter().all(|fetch| fetch.max_age_ms == Some(28_000.0)), "an old copy at once");
-    let held_only = sent.iter().filter(|fetch| fetch.held_only).count();
-    assert!((20..40).contains(&held_only), "most take what is held, some try: {held_only}");
+    let cached_only = sent.iter().filter(|fetch| fetch.cached_only).count();
+    assert!((20..40).contains(&cached_only), "most take what is held, some try: {cached_only}");
     driver.now += 5000.0;
-    let tries = (0..40).filter(|turn| !fetch(&driver.ask(PAGE, &format!("late{turn}"))).held_only).count();
+    let tries = (0..40).filter(|turn| !fetch(&driver.ask(PAGE, &format!("late{turn}"))).cached_only).count();
     assert!(tries > 30, "without news the doubt fades: {tries}");
     // Fills that work again end it.
     for fetch in &sent {
-        driver.end(fetch, 0, Outcome::Ok, Some(Note::Filled));
+        driver.end(fetch, 0, Outcome::Ok, Some(CacheStatus::Filled));
     }
     for turn in 0..200 {
-        driver.serve(PAGE, &format!("back{turn}"), Note::Filled);
+        driver.serve(PAGE, &format!("back{turn}"), CacheStatus::Filled);
     }
     let after = fetch(&driver.ask(PAGE, "page-after"));
     assert_eq!(after.max_age_ms, Some(8000.0));
-    assert!(!after.held_only);
+    assert!(!after.cached_only);
 }
 
 #[test]
@@ -569,19 +575,22 @@
     let waits = |driver: &mut Driver, wait: Millis| {
         for _ in 0..4 {
             let sent = fetch(&driver.ask(KEYED, "swap"));
-            assert!(!sent.held_only, "what runs at the origin goes there all the same");
-            driver.served(&sent, Note::FilledFromOrigin, wait + 5.0, Some(wait));
+            assert!(!sent.cached_only, "what runs at the origin goes there all the same");
+            driver.served(&sent, CacheStatus::FilledFromOrigin, wait + 5.0, Some(wait));
         }
         let asks = (0..40).map(|turn| fetch(&driver.ask(READ, &format!("o{turn} after {wait}"))));
         asks.collect::<Vec<Fetch>>()
     };
-    let held = |sent: &[Fetch]| sent.iter().filter(|sent| sent.held_only).count();
+    let held = |sent: &[Fetch]| sent.iter().filter(|sent| sent.cached_only).count();
     assert_eq!(held(&waits(&mut driver, 200.0)), 0, "in time by far");
     let some = held(&waits(&mut driver, 330.0));
     assert!(some > 5 && some < 35, "nearly late: only some are asked for there, {some}");
     let late = waits(&mut driver, 500.0);
     assert_eq!(held(&late), 40, "late in any case");
-    assert!(refused(&driver.end(&late[0], 0, Outcome::Miss, Some(Note::SourceLacks))), "and told so at once");
+    assert!(
+        refused(&driver.end(&late[0], 0, Outcome::Miss, Some(CacheStatus::SourceMiss))),
+        "and told so at once"
+    );
     assert_eq!(held(&waits(&mut driver, 50.0)), 0, "over at once");
 }
 
@@ -597,7 +606,7 @@
             let there = sent.cache == limping;
             sent_there += usize::from(there);
             driver.now += 20.0;
-            driver.served(&sent, Note::Hit, if there { 600.0 } else { 30.0 }, None);
+            driver.served(&sent, CacheStatus::Hit, if there { 600.0 } else { 30.0 }, None);
         }
         sent_there
     };
@@ -614,7 +623,7 @@
         let mut list = fleet();
         list.retain(|e| !matches!(e.cache.as_str(), "e2" | "e3" | "e4"));
         list.iter_mut().filter(|e| e.cache.as_str() == "e1").for_each(|e| {
-            (e.online_since, e.rating) = (Some(START_MS + 1.0), 4.0);
+            (e.online_since, e.weight) = (Some(START_MS + 1.0), 4.0);
         });
         let mut driver = Driver::new(Settings { bypass_allowed, ..settings() }, list);
         driver.now += 10.0;
@@ -629,7 +638,7 @@
             *to.entry(sent.cache.to_string()).or_default() += 1;
             let direct = sent.cache.as_str() != "e1";
             assert!(!direct || sent.source.as_str() == "o1", "a parent fetches what it lacks: {sent:?}");
-            driver.end(&sent, 0, Outcome::Ok, Some(Note::Filled));
+            driver.end(&sent, 0, Outcome::Ok, Some(CacheStatus::Filled));
             driver.now += 2.0;
         }
         to
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -75,19 +75,19 @@
             origin_kind: Some("root".into()),
             bypass_allowed: chance(2) == 0,
             joins: chance(2) == 0,
-            detail: [Detail::All, Detail::Hit, Detail::Silent][chance(3) as usize],
+            detail: [Detail::All, Detail::Hit, Detail::None][chance(3) as usize],
             siblings: [Siblings::None, Siblings::Location, Siblings::Any][chance(3) as usize],
             flow_kb_per_s: Some(2000.0 + chance(10_000) as f64),
-            weights: [Weights::Silent, Weights::Nominal, Weights::Rough][chance(3) as usize],
+            weights: [Weights::Unknown, Weights::Nominal, Weights::Rough][chance(3) as usize],
             guarantees: Guarantees {
                 stop_sending_ms: 300.0 + chance(2000) as f64,
-                cold_from: 0.05 + chance(50) as f64 / 100.0,
-                cold_ms: 500.0 + chance(15_000) as f64,
-                fall_multiple: 1.0 + chance(4) as f64,
+                cold_start_share: 0.05 + chance(50) as f64 / 100.0,
+                cold_start_ms: 500.0 + chance(15_000) as f64,
+                overload_multiple: 1.0 + chance(4) as f64,
                 overload_ms: 1000.0,
-                parent_cold_from: 0.05,
-                parent_cold_ms: 10_000.0,
-                parent_fall_multiple: 2.0,
+                parent_cold_start_share: 0.05,
+                parent_cold_start_ms: 10_000.0,
+                parent_overload_multiple: 2.0,
                 purge_notice_ms: 200.0 + chance(1000) as f64,
                 purge_gone_ms: 6000.0,
                 ..Guarantees::default()
@@ -95,7 +95,7 @@
             limits: Limits {
                 max_attempts: 1 + chance(6) as usize,
                 cancelling: chance(2) == 0,
-                second_copies: chance(2) == 0,
+                hedging: chance(2) == 0,
                 retry_after: chance(2) == 0,
                 max_retry_after_ms: 100.0 + chance(2000) as f64,
                 ..Limits::default()
@@ -194,7 +194,7 @@
         });
         self.hold("siblings", sibling);
         self.hold("joins", self.settings.joins || !fetch.join);
-        self.hold("kept", !class.uncached || fetch.keep == Keep::No);
+        self.hold("kept", !class.uncached || fetch.retention == Retention::NoStore);
         for name in [Some(fetch.cache.as_str()), source.map(|source| source.0)].into_iter().flatten() {
             self.hold("drain", self.phases.get(name) == Some(&Phase::Serving));
         }
@@ -203,11 +203,11 @@
         self.hold("purge", purged.is_none_or(|at| now - at <= notice || young(at)));
         let oldest = class.fresh_ms.map(|fresh| fresh + class.stale_ms);
         self.hold("age", oldest.is_none_or(|most| fetch.max_age_ms.is_some_and(|age| age <= most)));
-        let copies = self.settings.limits.second_copies && class.repeat == Repeat::Retryable;
+        let copies = self.settings.limits.hedging && class.repeat == Repeat::Retryable;
         self.hold("two at once", out == 0 || (copies && out == 1));
         let apart = |tried: &Tried| tried.over.is_none_or(|at| now >= at + SLACK_MS - 1.0);
         let given_up = |tried: &&Tried| tried.written.is_some() && !tried.unrun && !apart(tried);
-        let again = self.settings.limits.second_copies || !before.iter().any(|tried| given_up(&tried));
+        let again = self.settings.limits.hedging || !before.iter().any(|tried| given_up(&tried));
         self.hold("apart", again);
         let may = match class.repeat {
             Repeat::Retryable => true,
@@ -243,11 +243,12 @@
         let class = &self.settings.classes[asked.class];
         let (repeat, limits) = (class.repeat, self.settings.limits.clone());
         self.hold("in time", self.now <= asked.due + SLACK_MS);
-        if let Reply::Refused { hold_off_ms, .. } = reply {
+        if let Reply::Refused { retry_after_ms, .. } = reply {
             let free = matches!(repeat, Repeat::Retryable | Repeat::Dedup { scope: DedupScope::All, .. });
             let ran = self.of(client).iter().any(|tried| tried.written.is_some() && !tried.unrun);
             self.hold("refusal", free || !ran);
-            let advised = hold_off_ms.is_none_or(|ms| limits.retry_after && ms <= limits.max_retry_after_ms);
+            let advised =
+                retry_after_ms.is_none_or(|ms| limits.retry_after && ms <= limits.max_retry_after_ms);
             self.hold("retry after", advised);
         }
     }
@@ -328,13 +329,14 @@
                     .tried
                     .entry(attempt)
                     .and_modify(|tried| (tried.unrun, tried.over) = (unrun, Some(over)));
-                let (note, report) = ((chance(3) == 0).then_some(Note::Filled), LoadReport::default());
+                let (cache_status, report) =
+                    ((chance(3) == 0).then_some(CacheStatus::Filled), LoadReport::default());
                 let answer = Answer {
                     outcome,
                     body: vec![1; 9],
                     unchanged: false,
-                    note,
-                    source_wait_ms: None,
+                    cache_status,
+                    source_ttfb_ms: None,
                     report,
                 };
                 inputs.push(Input::Ended { attempt, end: End::Answer(answer) });
@@ -412,7 +414,7 @@
     type Ignore = fn(&mut Settings);
     let ignores: [(&str, Ignore); 13] = [
         ("attempts", |s| s.limits.max_attempts += 2),
-        ("two at once", |s| s.limits.second_copies = true),
+        ("two at once", |s| s.limits.hedging = true),
         ("joins", |s| s.joins = true),
         ("siblings", |s| s.siblings = Siblings::Any),
         ("bypass", |s| s.bypass_allowed = true),
@@ -425,7 +427,7 @@
                 }
             }
         }),
-        ("apart", |s| s.limits.second_copies = true),
+        ("apart", |s| s.limits.hedging = true),
         ("window", |s| {
             for class in &mut s.classes {
                 if let Repeat::Dedup { window_ms, .. } = &mut class.repeat {
--- a/tests/size.rs
+++ b/tests/size.rs
@@ -29,20 +29,21 @@
 
 #[test]
 fn a_home_is_left_later_while_fills_fail() {
-    let stays = |note: Note, outcome: Outcome| {
+    let stays = |cache_status: CacheStatus, outcome: Outcome| {
         let mut driver = Driver::new(many(), fleet());
         for turn in 0..20 {
             let sent = fetch(&driver.ask(READ, &format!("o{turn}")));
-            for action in driver.end(&sent, 0, outcome, Some(note)) {
+            for action in driver.end(&sent, 0, outcome, Some(cache_status)) {
                 if let Action::Fetch(next) = action {
-                    driver.end(&next, 1, Outcome::Ok, Some(Note::Filled));
+                    driver.end(&next, 1, Outcome::Ok, Some(CacheStatus::Filled));
                 }
             }
         }
         let home = fetch(&driver.ask_sized(READ, "song", 10.0)).cache;
         (0..20).take_while(|_| fetch(&driver.ask_sized(READ, "song", 10.0)).cache == home).count()
     };
-    let (fine, failing) = (stays(Note::Filled, Outcome::Ok), stays(Note::SourceRefused, Outcome::Full));
+    let (fine, failing) =
+        (stays(CacheStatus::Filled, Outcome::Ok), stays(CacheStatus::SourceRefused, Outcome::Full));
     assert!(fine >= 1 && failing > fine, "{fine} and {failing}");
 }
 
@@ -62,10 +63,10 @@
                 attempt: 0,
                 cache,
                 outcome: Outcome::Ok,
-                waited_ms: 20.0,
+                elapsed_ms: 20.0,
                 last: true,
-                note: Some(Note::Hit),
-                source_wait_ms: None,
+                cache_status: Some(CacheStatus::Hit),
+                source_ttfb_ms: None,
                 report,
                 size_kb: None,
             }));
@@ -85,12 +86,12 @@
     let mut list = fleet();
     list.retain(|entry| entry.cache.as_str() != "p2");
     let mut warm = list.clone();
-    warm.iter_mut().filter(|entry| entry.cache.as_str() == "p1").for_each(|entry| entry.rating = 40.0);
+    warm.iter_mut().filter(|entry| entry.cache.as_str() == "p1").for_each(|entry| entry.weight = 40.0);
     let mut work = BTreeMap::<u64, f64>::new();
     for seed in 0..400 {
         let mut driver = Driver::seeded(many(), warm.clone(), seed);
         for turn in 0..5 {
-            driver.serve(READ, &format!("before{turn}"), Note::Filled);
+            driver.serve(READ, &format!("before{turn}"), CacheStatus::Filled);
         }
         let mut cold = warm.clone();
         let started = driver.now;
@@ -103,7 +104,7 @@
             if sent.source.as_str() == "p1" {
                 *work.entry(turn / 4).or_default() += 10.0;
             }
-            driver.end(&sent, 0, Outcome::Ok, Some(Note::Filled));
+            driver.end(&sent, 0, Outcome::Ok, Some(CacheStatus::Filled));
             driver.now += 250.0;
         }
     }
@@ -119,7 +120,7 @@
 fn a_machine_that_is_seldom_heard_is_not_silent_after_one_usual_gap() {
     let mut driver = Driver::usual();
     for turn in 0..20 {
-        driver.serve(READ, &format!("o{}", turn % 10), Note::Filled);
+        driver.serve(READ, &format!("o{}", turn % 10), CacheStatus::Filled);
         driver.wait(1500.0);
     }
     let sent = fetch(&driver.ask(READ, "o1"));
@@ -135,9 +136,9 @@
     let mut driver = Driver::usual();
     for turn in 0..12 {
         let sent = fetch(&driver.ask(READ, &format!("o{turn}")));
-        let next = fetch(&driver.end(&sent, 0, Outcome::Error, Some(Note::SourceLost)));
+        let next = fetch(&driver.end(&sent, 0, Outcome::Error, Some(CacheStatus::SourceUnavailable)));
         assert_eq!(next.cache, sent.cache, "another source, the same cache");
-        driver.end(&next, 1, Outcome::Ok, Some(Note::Filled));
+        driver.end(&next, 1, Outcome::Ok, Some(CacheStatus::Filled));
     }
     assert!(!driver.log.iter().any(|line| line.starts_with('e') && line.contains("ejected")));
 }
@@ -147,7 +148,7 @@
     let mut driver = Driver::usual();
     for turn in 0..20 {
         let sent = fetch(&driver.ask(READ, &format!("o{turn}")));
-        driver.end(&sent, 0, Outcome::Full, Some(Note::OriginFailed));
+        driver.end(&sent, 0, Outcome::Full, Some(CacheStatus::OriginFailed));
     }
     assert!(driver.log.iter().all(|line| !line.contains("ejected")), "{:?}", driver.log);
 }
@@ -159,12 +160,12 @@
     let mut driver = Driver::new(any.clone(), list.clone());
     let sent = fetch(&driver.ask(READ, "song"));
     assert_eq!(sent.source.as_str(), "w1");
-    let next = fetch(&driver.end(&sent, 0, Outcome::Full, Some(Note::SourceLost)));
+    let next = fetch(&driver.end(&sent, 0, Outcome::Full, Some(CacheStatus::SourceUnavailable)));
     assert_eq!(next.source.as_str(), "o1", "then the origin");
     // One that lacks the piece is no worse for it, and isn't asked for the same request again.
     let mut driver = Driver::new(any.clone(), list.clone());
     let sent = fetch(&driver.ask(READ, "tune"));
-    let next = fetch(&driver.end(&sent, 0, Outcome::Miss, Some(Note::SourceLacks)));
+    let next = fetch(&driver.end(&sent, 0, Outcome::Miss, Some(CacheStatus::SourceMiss)));
     assert_eq!(next.source.as_str(), "o1", "it gives only what it holds");
     // Not a cold one, and only where caches of other locations may be asked.
     let mut cold = list.clone();
@@ -178,7 +179,7 @@
 fn preempted_in_waves_while_the_rest_is_cold_the_rules_hold() {
     let mut driver = Driver::usual();
     for turn in 0..40 {
-        driver.serve(READ, &format!("o{turn}"), Note::Hit);
+        driver.serve(READ, &format!("o{turn}"), CacheStatus::Hit);
     }
     let started = driver.now;
     let changed =
@@ -197,7 +198,7 @@
         for action in driver.ask(READ, &format!("o{}", turn % 40)) {
             if let Action::Fetch(sent) = action {
                 *work.entry(sent.cache.to_string()).or_default() += 10.0;
-                driver.end(&sent, 0, Outcome::Ok, Some(Note::Filled));
+                driver.end(&sent, 0, Outcome::Ok, Some(CacheStatus::Filled));
             }
         }
         driver.now += 5.0;
@@ -215,7 +216,7 @@
     let mut driver = Driver::new(crowd, list.clone());
     driver.send(Event::List { mode: ListMode::Full, entries: list });
     for turn in 0..20 {
-        driver.serve(READ, &format!("o{turn}"), Note::Filled);
+        driver.serve(READ, &format!("o{turn}"), CacheStatus::Filled);
     }
     // No hub, no size, no zones: still an answer.
     let bare = Settings { zones: Vec::new(), zone: None, flow_kb_per_s: None, ..Settings::default() };
@@ -226,18 +227,18 @@
 #[test]
 fn a_machine_whose_answers_are_lost_now_and_then_is_not_taken_for_cold() {
     let mut driver = Driver::usual();
-    let home = driver.serve(READ, "song", Note::Hit).cache;
+    let home = driver.serve(READ, "song", CacheStatus::Hit).cache;
     for _ in 0..3 {
         let sent = fetch(&driver.ask(READ, "song"));
         let next = fetch(&driver.end(&sent, 0, Outcome::Reset, None));
-        driver.end(&next, 1, Outcome::Ok, Some(Note::Filled));
+        driver.end(&next, 1, Outcome::Ok, Some(CacheStatus::Filled));
     }
     assert!(driver.log.iter().any(|line| line.contains("ejected")), "{:?}", driver.log);
     driver.wait(1500.0);
-    assert_eq!(driver.serve(READ, "song", Note::Hit).cache, home, "a single trial, and it is back");
+    assert_eq!(driver.serve(READ, "song", CacheStatus::Hit).cache, home, "a single trial, and it is back");
     for _ in 0..50 {
         assert_eq!(
-            driver.serve(READ, "song", Note::Hit).cache,
+            driver.serve(READ, "song", CacheStatus::Hit).cache,
             home,
             "no budget for one that only lost answers"
         );
@@ -246,7 +247,7 @@
 
 /// Settings under which no request tells its size and no machine its link.
 fn untold() -> Settings {
-    Settings { weights: Weights::Silent, ..settings() }
+    Settings { weights: Weights::Unknown, ..settings() }
 }
 
 /// How many of these requests the caches that have just started get, where nobody tells sizes.
@@ -266,16 +267,16 @@
             advice: None,
         }))
     };
-    let answer = |driver: &mut Driver, sent: Fetch, waited_ms| {
+    let answer = |driver: &mut Driver, sent: Fetch, elapsed_ms| {
         driver.send(Event::Result(AttemptResult {
             id: sent.id,
             attempt: 0,
             cache: sent.cache,
             outcome: Outcome::Ok,
-            waited_ms,
+            elapsed_ms,
             last: true,
-            note: Some(Note::Hit),
-            source_wait_ms: None,
+            cache_status: Some(CacheStatus::Hit),
+            source_ttfb_ms: None,
             report: LoadReport::default(),
             size_kb: counted_kb,
         }))
@@ -338,10 +339,10 @@
             attempt: 0,
             cache: sent.cache,
             outcome: Outcome::Ok,
-            waited_ms: 50.0,
+            elapsed_ms: 50.0,
             last: true,
-            note: Some(Note::Hit),
-            source_wait_ms: None,
+            cache_status: Some(CacheStatus::Hit),
+            source_ttfb_ms: None,
             report: LoadReport::default(),
             size_kb: Some(kb),
         }));
@@ -366,7 +367,7 @@
         let mut attempt = 0;
         while let Some(Action::Fetch(next)) = actions.first().cloned() {
             attempt += 1;
-            let how = if next.held_only { Outcome::Miss } else { Outcome::Full };
+            let how = if next.cached_only { Outcome::Miss } else { Outcome::Full };
             actions = driver.end(&next, attempt, how, None);
         }
         driver.now += 20.0;
@@ -394,8 +395,8 @@
     for turn in 0..8 {
         let served = fetch(&driver.ask(READ, &format!("warm{turn}")));
         let took = if turn % 2 == 0 { 30.0 } else { 3000.0 };
-        driver.served(&served, Note::Filled, took, None);
+        driver.served(&served, CacheStatus::Filled, took, None);
     }
-    let held = (0..200).filter(|turn| fetch(&driver.ask(READ, &format!("new{turn}"))).held_only).count();
+    let held = (0..200).filter(|turn| fetch(&driver.ask(READ, &format!("new{turn}"))).cached_only).count();
     assert!(held > 150, "no more is asked of it than it can begin in time: {held} of 200");
 }
--- a/tests/spread.rs
+++ b/tests/spread.rs
@@ -10,11 +10,11 @@
     let mut caches = BTreeMap::new();
     for rate in rates {
         for _ in 0..*rate {
-            let fetch = driver.serve(READ, object, Note::Hit);
+            let fetch = driver.serve(READ, object, CacheStatus::Hit);
             *caches.entry(fetch.cache.to_string()).or_default() += 1;
         }
         for other in 0..others {
-            driver.serve(READ, &format!("other{other}"), Note::Hit);
+            driver.serve(READ, &format!("other{other}"), CacheStatus::Hit);
         }
         driver.wait(1000.0);
     }
@@ -72,7 +72,7 @@
     let home = fetch(&Driver::usual().ask(READ, "song")).cache;
     for _ in 0..6 {
         let sent = fetch(&driver.ask(READ, "song"));
-        let outcome = if sent.cache == home { Note::Hit } else { Note::Filled };
+        let outcome = if sent.cache == home { CacheStatus::Hit } else { CacheStatus::Filled };
         driver.end(&sent, 0, Outcome::Ok, Some(outcome));
         if sent.cache != home {
             break;
@@ -121,10 +121,10 @@
             attempt: 0,
             cache: sent.cache.clone(),
             outcome: Outcome::Ok,
-            waited_ms: 100.0,
+            elapsed_ms: 100.0,
             last: true,
-            note: Some(Note::Filled),
-            source_wait_ms: Some(wait),
+            cache_status: Some(CacheStatus::Filled),
+            source_ttfb_ms: Some(wait),
             report: LoadReport::default(),
             size_kb: None,
         }));
@@ -137,7 +137,7 @@
     let mut sources = Vec::new();
     for turn in 0..20 {
         let sent = fetch(&driver.ask(READ, &format!("late{turn}")));
-        driver.end(&sent, 0, Outcome::Ok, Some(Note::Hit)); // Tells nothing of the source.
+        driver.end(&sent, 0, Outcome::Ok, Some(CacheStatus::Hit)); // Tells nothing of the source.
         sources.push(sent.source);
     }
     assert_ne!(sources, vec![first.clone(); 20]);
@@ -148,9 +148,9 @@
 fn without_parents_the_origin_fills_and_seen_pieces_rank_higher() {
     let fleet = fleet().into_iter().filter(|entry| entry.kind.as_str() != "parent").collect();
     let mut driver = Driver::new(settings(), fleet);
-    let first = driver.serve(READ, "song", Note::FilledFromOrigin);
-    assert_eq!((first.source.as_str(), first.keep), ("o1", Keep::Low));
-    assert_eq!(driver.serve(READ, "song", Note::Hit).keep, Keep::Middle);
+    let first = driver.serve(READ, "song", CacheStatus::FilledFromOrigin);
+    assert_eq!((first.source.as_str(), first.retention), ("o1", Retention::Low));
+    assert_eq!(driver.serve(READ, "song", CacheStatus::Hit).retention, Retention::Middle);
 }
 
 #[test]
