--- a/src/reducer/gate.rs
+++ b/src/reducer/gate.rs
@@ -35,7 +35,7 @@
             (!serves(&out.cache), Withheld::EndpointLeaving),
             (!serves(&out.source), Withheld::SourceLeaving),
             (fragile && (held.may_have_run || others().any(begun)), Withheld::MayHaveRun),
-            (!self.settings.limits.second_copies && others().any(begun), Withheld::ConcurrentAttempt),
+            (!self.settings.limits.hedging && others().any(begun), Withheld::ConcurrentAttempt),
             (now > out.send_by, Withheld::SendWindowExpired),
             (limit_ms < 1.0, Withheld::ClientDeadlineExpired),
         ];
