--- a/src/config.rs
+++ b/src/config.rs
@@ -6,7 +6,7 @@
 mod check;
 
 use crate::api::*;
-use crate::board::{self, Notice};
+use crate::discovery::{self, Notice};
 use crate::errno;
 use crate::operator::{self, Operator};
 use simd_json::prelude::*;
@@ -138,7 +138,7 @@
             told.filter(|n| *n > 0.0).unwrap_or(usual)
         };
         let (rev, known) = match value.get("known") {
-            Some(known) => board::notices(known).map_err(|e| format!("known: {e}"))?,
+            Some(known) => discovery::notices(known).map_err(|e| format!("known: {e}"))?,
             None => (0, Vec::new()),
         };
         let remarks = check::remarks(&options)?;
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -65,7 +65,6 @@
 pub mod addresses;
 pub mod api;
 pub mod back;
-pub mod board;
 pub mod bytes;
 pub mod cli;
 mod cli_ctl;
@@ -73,6 +72,7 @@
 pub mod clock;
 pub mod config;
 pub mod counters;
+pub mod discovery;
 mod errno;
 pub mod fastcgi;
 pub mod fleet;
--- a/src/reducer/mod.rs
+++ b/src/reducer/mod.rs
@@ -11,7 +11,7 @@
 
 use crate::addresses::Listing;
 use crate::api::*;
-use crate::board::{Listed, Notice, Word};
+use crate::discovery::{Listed, Notice, Word};
 use crate::clock::{UnixTime, WallClock};
 use crate::config::Net;
 use crate::counters::Counters;
--- a/src/runtime/board.rs
+++ b/src/runtime/board.rs
@@ -1,4 +1,4 @@
-//! The notice board's socket: one poll after the other. What they bring is [`crate::board`]'s.
+//! The notice board's socket: one poll after the other. What they bring is [`crate::discovery`]'s.
 
 use super::socket::{dial, Io};
 use super::{Runtime, Source};
--- a/src/runtime/mod.rs
+++ b/src/runtime/mod.rs
@@ -15,7 +15,7 @@
 use crate::addresses::{DialKey, Endpoint};
 use crate::api::Millis;
 use crate::back::{LinkKey, Links};
-use crate::board::DiscoveryWatch;
+use crate::discovery::DiscoveryWatch;
 use crate::clock::UnixTime;
 use crate::config::{Config, Sources};
 use crate::errno;
--- a/tests/clock_steps.rs
+++ b/tests/clock_steps.rs
@@ -4,7 +4,7 @@
 
 use common::{net, settings};
 use frostturn::api::*;
-use frostturn::board::{Listed, Notice, Word};
+use frostturn::discovery::{Listed, Notice, Word};
 use frostturn::clock::UnixTime;
 use frostturn::reducer::{Ask, Client, Effect, Input, Reducer};
 
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -3,7 +3,7 @@
 #![allow(dead_code)] // Each test file uses its part.
 
 use frostturn::api::*;
-use frostturn::board::Listed;
+use frostturn::discovery::Listed;
 use frostturn::config::Net;
 use frostturn::Router;
 
--- a/tests/board.rs
+++ b/tests/discovery.rs
@@ -1,7 +1,7 @@
 //! The notice board's answers, wherever they are split, and the config that holds its first events.
 
 use frostturn::api::*;
-use frostturn::board::{DiscoveryWatch, News, Word, LINGER_MS, POLL_SLACK_MS};
+use frostturn::discovery::{DiscoveryWatch, News, Word, LINGER_MS, POLL_SLACK_MS};
 use frostturn::clock::UnixTime;
 use frostturn::config::Config;
 
--- a/tests/ops.rs
+++ b/tests/ops.rs
@@ -4,7 +4,7 @@
 
 use common::listed;
 use frostturn::api::Phase;
-use frostturn::board::{Notice, Word};
+use frostturn::discovery::{Notice, Word};
 use frostturn::clock::{BootTime, UnixTime};
 use frostturn::handover::{Now, State};
 use frostturn::ops::{Call, Verdict};
@@ -227,7 +227,7 @@
         for (at, part) in parts.iter().enumerate() {
             let mut reducer =
                 Reducer::new(common::settings(), common::net(), 7 + at as u64, 0.0, UnixTime(UNIX_MS));
-            let cold = |name| frostturn::board::Listed {
+            let cold = |name| frostturn::discovery::Listed {
                 since_unix_ms: Some(UnixTime(UNIX_MS)),
                 weight: 4.0,
                 ..listed(name, kind(name), Phase::Serving)
--- a/tests/plugins.rs
+++ b/tests/plugins.rs
@@ -4,7 +4,7 @@
 
 use common::listed;
 use frostturn::api::{CacheId, ClassSettings, Keep, Limits, Phase, Repeat, Settings};
-use frostturn::board::{Listed, Notice, Word};
+use frostturn::discovery::{Listed, Notice, Word};
 use frostturn::clock::UnixTime;
 use frostturn::plugins::engine::{Fault, Hook, Instance};
 use frostturn::plugins::guard::{self, Allowed};
--- a/tests/reducer.rs
+++ b/tests/reducer.rs
@@ -4,7 +4,7 @@
 
 use common::{entry, settings, START_MS};
 use frostturn::api::*;
-use frostturn::board::{Listed, Notice, Word};
+use frostturn::discovery::{Listed, Notice, Word};
 use frostturn::clock::UnixTime;
 use frostturn::config::Net;
 use frostturn::reasons::{Refusal, Withheld};
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -6,7 +6,7 @@
 
 use common::{listed, net, START_MS};
 use frostturn::api::*;
-use frostturn::board::{Listed, Notice, Word};
+use frostturn::discovery::{Listed, Notice, Word};
 use frostturn::clock::UnixTime;
 use frostturn::reasons::Withheld;
 use frostturn::reducer::*;
