--- a/src/addresses/mod.rs
+++ b/src/addresses/mod.rs
@@ -8,11 +8,11 @@
 //!
 //! Without [`Rules`] each machine has the one address of the notice board, and one dial a connection.
 
-mod book;
 mod race;
+mod table;
 
-pub use book::{Book, Failure, Listing};
 pub use race::{DialKey, Race, Step, Won};
+pub use table::{Book, Failure, Listing};
 
 use crate::api::Millis;
 use std::collections::BTreeMap;
--- a/src/back/link.rs
+++ b/src/back/connection.rs
@@ -1,6 +1,6 @@
 //! One connection: what is on it, how far that has come, and what its answers mean.
 
-use super::words::{note, Fields};
+use super::wire::{note, Fields};
 use super::{Heard, CROWDED, IDLE_SHARE, MAX_PAST, MUTE_MS, PAST_MS, STALL_MS, WHOLE_MS, WRONG_NAME};
 use crate::addresses::{Book, Endpoint, Race};
 use crate::api::*;
--- a/src/back/dials.rs
+++ b/src/back/dials.rs
@@ -1,6 +1,6 @@
 //! The ways of connections: races that are begun and go on, paths that fall mute, and what is left alone for it.
 
-use super::link::{Link, Open, What};
+use super::connection::{Link, Open, What};
 use super::{DialEnd, Dialling, Frame, Leave, LinkKey, Links, FURTHER, GREET_MS, MAX_MOVES};
 use crate::addresses::{Book, DialKey, Endpoint, Failure, Race, Step};
 use crate::api::{CacheId, Millis};
--- a/src/back/mod.rs
+++ b/src/back/mod.rs
@@ -3,19 +3,19 @@
 //! Where a machine may be reached is [`crate::addresses`]'s: a connection begins as a race of dials and goes on
 //! over the one that was up first. Frames wait for that, so that no byte is ever on a loser.
 
+mod connection;
 mod dials;
-mod link;
-mod words;
+mod wire;
 
 use crate::addresses::{Book, DialKey, Endpoint, Failure, Listing, Rules};
 use crate::api::*;
 use crate::reasons::EndpointClose;
 use crate::reducer::{Answer, AttemptKey, Call, Progress};
 use crate::resp::{self, Fault};
+use connection::{Frame, Link, Open, What};
 use dials::left;
-use link::{Frame, Link, Open, What};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
-use words::{limit as request_limit, request};
+use wire::{limit as request_limit, request};
 
 /// A connection with something out that has said nothing for so long gets nothing more: its machine may have
 /// vanished, which nobody tells. A new connection shows it.
--- a/src/reducer/mod.rs
+++ b/src/reducer/mod.rs
@@ -11,10 +11,10 @@
 
 use crate::addresses::Listing;
 use crate::api::*;
-use crate::discovery::{Listed, Notice, Word};
 use crate::clock::{UnixTime, WallClock};
 use crate::config::Net;
 use crate::counters::Counters;
+use crate::discovery::{Listed, Notice, Word};
 use crate::ops;
 use crate::plugins::{About, Loaded, Plugins, Watch};
 use crate::service::{Exclusions, Service, DRAINED_BY_MS};
--- a/tests/clock_steps.rs
+++ b/tests/clock_steps.rs
@@ -4,8 +4,8 @@
 
 use common::{net, settings};
 use frostturn::api::*;
-use frostturn::discovery::{Listed, Notice, Word};
 use frostturn::clock::UnixTime;
+use frostturn::discovery::{Listed, Notice, Word};
 use frostturn::reducer::{Ask, Client, Effect, Input, Reducer};
 
 /// The Unix time at 0.
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -3,8 +3,8 @@
 #![allow(dead_code)] // Each test file uses its part.
 
 use frostturn::api::*;
-use frostturn::discovery::Listed;
 use frostturn::config::Net;
+use frostturn::discovery::Listed;
 use frostturn::Router;
 
 /// Clocks start anywhere.
--- a/tests/discovery.rs
+++ b/tests/discovery.rs
@@ -1,9 +1,9 @@
 //! The notice board's answers, wherever they are split, and the config that holds its first events.
 
 use frostturn::api::*;
-use frostturn::discovery::{DiscoveryWatch, News, Word, LINGER_MS, POLL_SLACK_MS};
 use frostturn::clock::UnixTime;
 use frostturn::config::Config;
+use frostturn::discovery::{DiscoveryWatch, News, Word, LINGER_MS, POLL_SLACK_MS};
 
 fn answer(body: &str) -> Vec<u8> {
     format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len()).into_bytes()
--- a/tests/ops.rs
+++ b/tests/ops.rs
@@ -4,8 +4,8 @@
 
 use common::listed;
 use frostturn::api::Phase;
-use frostturn::discovery::{Notice, Word};
 use frostturn::clock::{BootTime, UnixTime};
+use frostturn::discovery::{Notice, Word};
 use frostturn::handover::{Now, State};
 use frostturn::ops::{Call, Verdict};
 use frostturn::reducer::{Ask, Client, Effect, Input, Reducer};
--- a/tests/plugins.rs
+++ b/tests/plugins.rs
@@ -4,8 +4,8 @@
 
 use common::listed;
 use frostturn::api::{CacheId, ClassSettings, Keep, Limits, Phase, Repeat, Settings};
-use frostturn::discovery::{Listed, Notice, Word};
 use frostturn::clock::UnixTime;
+use frostturn::discovery::{Listed, Notice, Word};
 use frostturn::plugins::engine::{Fault, Hook, Instance};
 use frostturn::plugins::guard::{self, Allowed};
 use frostturn::plugins::{Loaded, Spec};
--- a/tests/reducer.rs
+++ b/tests/reducer.rs
@@ -4,9 +4,9 @@
 
 use common::{entry, settings, START_MS};
 use frostturn::api::*;
-use frostturn::discovery::{Listed, Notice, Word};
 use frostturn::clock::UnixTime;
 use frostturn::config::Net;
+use frostturn::discovery::{Listed, Notice, Word};
 use frostturn::reasons::{Refusal, Withheld};
 use frostturn::reducer::*;
 use frostturn::runtime::Inbox;
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -6,8 +6,8 @@
 
 use common::{listed, net, START_MS};
 use frostturn::api::*;
-use frostturn::discovery::{Listed, Notice, Word};
 use frostturn::clock::UnixTime;
+use frostturn::discovery::{Listed, Notice, Word};
 use frostturn::reasons::Withheld;
 use frostturn::reducer::*;
 use quickcheck::{Arbitrary, Gen, QuickCheck};
