--- a/crates/frostturn-lab/src/machines.rs
+++ b/crates/frostturn-lab/src/machines.rs
@@ -372,7 +372,7 @@
                 }
                 begun = None;
             }
-            if decoder.midway() {
+            if decoder.has_partial_frame() {
                 begun = begun.or(Some(now));
             }
             match failure {
--- a/src/addresses/mod.rs
+++ b/src/addresses/mod.rs
@@ -1,18 +1,18 @@
 //! Several addresses for one machine: which there are, whose each is, in what order they are dialled, and what a
 //! connection that fails says about them.
 //!
-//! Owns the [`Book`] of endpoints with what is known of each path, and the [`Race`] of dials for one connection.
+//! Owns the [`AddressTable`] of endpoints with what is known of each path, and the [`DialRace`] of dials for one connection.
 //! It never opens a socket, never sends anything and never reads a clock: time comes in as an argument, what is
 //! to be dialled or closed goes out as a value. Which machine is asked, and whether again, stays with the
 //! decision module; here only the way to that machine is chosen, before a byte has left.
 //!
-//! Without [`Rules`] each machine has the one address of the notice board, and one dial a connection.
+//! Without [`AddressSettings`] each machine has the one address of the notice board, and one dial a connection.
 
 mod race;
 mod table;
 
-pub use race::{DialKey, Race, Step, Won};
-pub use table::{Book, Failure, Listing};
+pub use race::{DialKey, DialRace, DialStep, RaceWin};
+pub use table::{AddressTable, EndpointFailure, Listing};
 
 use crate::api::Millis;
 use std::collections::BTreeMap;
@@ -75,34 +75,34 @@
 
 /// What the operator's file says of addresses.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Rules {
+pub struct AddressSettings {
     /// Families in the order in which they are tried. One that isn't named is not used.
-    pub order: Vec<Family>,
+    pub family_order: Vec<Family>,
     /// Least and most time between two dials of one race (RFC 8305, section 5: 10 ms to 2 s).
-    pub attempt_delay: (Millis, Millis),
+    pub attempt_delay_ms: (Millis, Millis),
     /// First and longest pause of a path that has failed.
-    pub pause: (Millis, Millis),
+    pub pause_ms: (Millis, Millis),
     /// Dials open for one machine, [`MAX_DIALS`] at most.
-    pub per_machine: usize,
+    pub max_dials_per_machine: usize,
     /// Dials open in all.
-    pub in_all: usize,
+    pub max_dials: usize,
     /// A machine says its name in answer to `HELO`, and a connection that doesn't say the right one is left.
-    pub names: bool,
+    pub verify_names: bool,
     /// Further endpoints by machine, beside the notice board's.
     pub machines: BTreeMap<String, Vec<Endpoint>>,
 }
 
-impl Default for Rules {
+impl Default for AddressSettings {
     /// Unix before IPv6 before IPv4: RFC 6724, section 6, rules 8 (smaller scope) and, of its default policy
     /// table, IPv6's precedence over IPv4's.
     fn default() -> Self {
         Self {
-            order: vec![Family::Unix, Family::Ipv6, Family::Ipv4],
-            attempt_delay: (20.0, 80.0),
-            pause: (250.0, 30_000.0),
-            per_machine: MAX_DIALS,
-            in_all: 64,
-            names: false,
+            family_order: vec![Family::Unix, Family::Ipv6, Family::Ipv4],
+            attempt_delay_ms: (20.0, 80.0),
+            pause_ms: (250.0, 30_000.0),
+            max_dials_per_machine: MAX_DIALS,
+            max_dials: 64,
+            verify_names: false,
             machines: BTreeMap::new(),
         }
     }
--- a/src/back/connection.rs
+++ b/src/back/connection.rs
@@ -1,15 +1,18 @@
 //! One connection: what is on it, how far that has come, and what its answers mean.
 
-use super::wire::{note, Fields};
-use super::{Heard, CROWDED, IDLE_SHARE, MAX_PAST, MUTE_MS, PAST_MS, STALL_MS, WHOLE_MS, WRONG_NAME};
-use crate::addresses::{Book, Endpoint, Race};
+use super::wire::{parse_note, Fields};
+use super::{
+    EndpointEvent, ANSWER_STALL_MS, ANSWER_TIMEOUT_MS, CLOSED_IDS_KEPT, CLOSED_ID_LIFETIME_MS,
+    CROWDED_ATTEMPTS, IDLE_TIMEOUT_SHARE, UNRESPONSIVE_MS, WRONG_NAME,
+};
+use crate::addresses::{AddressTable, DialRace, Endpoint};
 use crate::api::*;
 use crate::reducer::{Answer, AttemptKey, Call, Progress};
-use crate::resp::{Decoder, Fault};
+use crate::resp::{Decoder, ProtocolError};
 use std::collections::{HashMap, VecDeque};
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(super) enum What {
+pub(super) enum Purpose {
     Attempt(AttemptKey),
     Probe,
     /// Who is there, and whether it answers at all.
@@ -22,7 +25,7 @@
     /// What it says, if it is a request's: its time is worded anew as it leaves.
     pub(super) call: Option<Call>,
     /// The id it opens; a STOP opens none.
-    pub(super) opens: Option<String>,
+    pub(super) opens_id: Option<String>,
     /// It must not be repeated: what it shares a connection with could cost it its answer.
     pub(super) alone: bool,
     /// How often it has moved on from a connection that closed.
@@ -30,140 +33,152 @@
 }
 
 #[derive(Debug)]
-pub(super) struct Link {
-    pub(super) member: CacheId,
+pub(super) struct Connection {
+    pub(super) machine: CacheId,
     /// The way it goes, once it is up.
     pub(super) endpoint: Option<Endpoint>,
     /// The dials for it, until it is up.
-    pub(super) race: Option<Race>,
-    pub(super) dialed: Millis,
-    pub(super) up: Option<Millis>,
+    pub(super) race: Option<DialRace>,
+    pub(super) dialed_at: Millis,
+    pub(super) connected_at: Option<Millis>,
     /// It carries nothing until its machine has answered a greeting, for which it waits until then.
-    pub(super) greeting: Option<Millis>,
+    pub(super) greeting_deadline: Option<Millis>,
     /// It is there to see whether this path works, until something is answered on it.
     pub(super) trial: Option<Endpoint>,
     /// Its silence was told to the book.
-    pub(super) blamed: bool,
+    pub(super) silence_reported: bool,
     pub(super) retired: bool,
     /// Since when something asked whole has met no sound at all.
-    pub(super) unheard: Option<Millis>,
+    pub(super) silent_since: Option<Millis>,
     /// Since when it carries nothing.
-    pub(super) idle: Millis,
-    pub(super) out: VecDeque<Frame>,
+    pub(super) idle_since: Millis,
+    pub(super) output: VecDeque<Frame>,
     pub(super) written: usize,
-    pub(super) open: HashMap<String, Open>,
+    pub(super) outstanding: HashMap<String, Outstanding>,
     /// Ids that are no longer open, and since when.
-    pub(super) past: VecDeque<(String, Millis)>,
+    pub(super) closed_ids: VecDeque<(String, Millis)>,
     pub(super) decoder: Decoder,
     /// When something last came.
-    pub(super) heard: Millis,
+    pub(super) last_received_at: Millis,
     /// When the answer that is coming began to.
-    pub(super) begun: Millis,
+    pub(super) answer_started_at: Millis,
 }
 
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Open {
-    pub(super) what: What,
+pub(super) struct Outstanding {
+    pub(super) purpose: Purpose,
     pub(super) progress: Progress,
     pub(super) alone: bool,
 }
 
-impl Link {
-    pub(super) fn mute(&self, now: Millis) -> bool {
-        self.unheard.is_some_and(|since| now - since > MUTE_MS)
+impl Connection {
+    pub(super) fn is_unresponsive(&self, now: Millis) -> bool {
+        self.silent_since.is_some_and(|since| now - since > UNRESPONSIVE_MS)
     }
 
-    pub(super) fn takes(&self, now: Millis, book: &Book, id: &str, streams: usize) -> bool {
-        let way = match (&self.trial, &self.endpoint) {
+    pub(super) fn accepts(&self, now: Millis, addresses: &AddressTable, id: &str, streams: usize) -> bool {
+        let may_use = match (&self.trial, &self.endpoint) {
             // One request at a time shows whether a path works again.
             (Some(tried), Some(_)) => {
-                self.greeting.is_none() && self.open.is_empty() && book.own(now, &self.member, tried)
+                self.greeting_deadline.is_none()
+                    && self.outstanding.is_empty()
+                    && addresses.may_dial(now, &self.machine, tried)
             }
             (Some(_), None) => false,
-            (None, Some(endpoint)) => book.takes(now, &self.member, endpoint),
+            (None, Some(endpoint)) => addresses.accepts_requests(now, &self.machine, endpoint),
             (None, None) => true,
         };
-        let free = self.open.len() < streams && !self.open.contains_key(id);
-        let fresh = !self.past.iter().any(|(past, _)| past == id); // Its late answer would be taken for ours.
-        free && fresh && way && !self.retired && !self.mute(now)
+        let free = self.outstanding.len() < streams && !self.outstanding.contains_key(id);
+        let fresh = !self.closed_ids.iter().any(|(past, _)| past == id); // Its late answer would be taken for ours.
+        free && fresh && may_use && !self.retired && !self.is_unresponsive(now)
     }
 
     /// Whether one more had better go elsewhere.
-    pub(super) fn full(&self, alone: bool) -> bool {
-        let most = if alone || self.open.values().any(|open| open.alone) { 1 } else { CROWDED };
-        self.open.len() >= most
+    pub(super) fn is_crowded(&self, alone: bool) -> bool {
+        let max =
+            if alone || self.outstanding.values().any(|open| open.alone) { 1 } else { CROWDED_ATTEMPTS };
+        self.outstanding.len() >= max
     }
 
     /// An id is no longer open: what still comes under it is no answer to a later request.
-    pub(super) fn over(&mut self, now: Millis, id: String) {
-        self.past.push_back((id, now));
-        let [least, most] = MAX_PAST;
-        let old = |past: &VecDeque<(String, Millis)>| past.front().is_some_and(|(_, at)| now - at > PAST_MS);
-        while self.past.len() > most || (self.past.len() > least && old(&self.past)) {
-            self.past.pop_front();
+    pub(super) fn close_id(&mut self, now: Millis, id: String) {
+        self.closed_ids.push_back((id, now));
+        let [min, max] = CLOSED_IDS_KEPT;
+        let old = |past: &VecDeque<(String, Millis)>| {
+            past.front().is_some_and(|(_, at)| now - at > CLOSED_ID_LIFETIME_MS)
+        };
+        while self.closed_ids.len() > max || (self.closed_ids.len() > min && old(&self.closed_ids)) {
+            self.closed_ids.pop_front();
         }
     }
 
     /// When it is to be looked at: a dial takes too long, an answer stops short, or it has been idle.
-    pub(super) fn due(&self, idle_ms: Millis) -> Option<Millis> {
-        match self.up {
-            None if self.retired && self.open.is_empty() => Some(self.idle),
-            None => self.race.as_ref().map(Race::due),
-            Some(_) if self.greeting.is_some() => self.greeting,
-            Some(_) if self.decoder.midway() => Some((self.heard + STALL_MS).min(self.begun + WHOLE_MS)),
-            Some(_) if !self.open.is_empty() || !self.out.is_empty() => None,
-            Some(_) if self.retired => Some(self.idle),
-            Some(_) => Some(self.idle + IDLE_SHARE * idle_ms),
+    pub(super) fn deadline(&self, idle_ms: Millis) -> Option<Millis> {
+        match self.connected_at {
+            None if self.retired && self.outstanding.is_empty() => Some(self.idle_since),
+            None => self.race.as_ref().map(DialRace::deadline),
+            Some(_) if self.greeting_deadline.is_some() => self.greeting_deadline,
+            Some(_) if self.decoder.has_partial_frame() => Some(
+                (self.last_received_at + ANSWER_STALL_MS).min(self.answer_started_at + ANSWER_TIMEOUT_MS),
+            ),
+            Some(_) if !self.outstanding.is_empty() || !self.output.is_empty() => None,
+            Some(_) if self.retired => Some(self.idle_since),
+            Some(_) => Some(self.idle_since + IDLE_TIMEOUT_SHARE * idle_ms),
         }
     }
 }
 
-impl Link {
-    pub(super) fn frame(&mut self, now: Millis, frame: &[Vec<u8>], named: bool) -> Result<Heard, Fault> {
-        let [id, word, rest @ ..] = frame else { return Err(Fault("an answer is cut short")) };
-        let id = std::str::from_utf8(id).map_err(|_| Fault("an id can't be read"))?;
+impl Connection {
+    pub(super) fn handle_frame(
+        &mut self,
+        now: Millis,
+        frame: &[Vec<u8>],
+        verify_name: bool,
+    ) -> Result<EndpointEvent, ProtocolError> {
+        let [id, status, rest @ ..] = frame else { return Err(ProtocolError("an answer is cut short")) };
+        let id = std::str::from_utf8(id).map_err(|_| ProtocolError("an id can't be read"))?;
         // An answer to what has not left whole is none: its frame would go on to open the id a second time.
-        let asked = self.open.get(id).filter(|open| open.progress == Progress::WrittenWhole);
-        let Some(what) = asked.map(|open| open.what) else {
-            let late = self.past.iter().any(|(past, _)| past == id);
-            return Ok(if late { Heard::Late } else { Heard::Unknown });
+        let asked = self.outstanding.get(id).filter(|open| open.progress == Progress::WrittenWhole);
+        let Some(purpose) = asked.map(|open| open.purpose) else {
+            let late = self.closed_ids.iter().any(|(past, _)| past == id);
+            return Ok(if late { EndpointEvent::Late } else { EndpointEvent::Unknown });
         };
-        let (fields, body) = match (what, rest) {
-            (What::Probe | What::Greeting, []) => (&b"-"[..], None),
-            (What::Probe | What::Greeting, [fields, ..]) => (&fields[..], None),
-            (What::Attempt(_), [fields, body]) => (&fields[..], Some(body)),
-            _ => return Err(Fault("an answer has other parts")),
+        let (fields, body) = match (purpose, rest) {
+            (Purpose::Probe | Purpose::Greeting, []) => (&b"-"[..], None),
+            (Purpose::Probe | Purpose::Greeting, [fields, ..]) => (&fields[..], None),
+            (Purpose::Attempt(_), [fields, body]) => (&fields[..], Some(body)),
+            _ => return Err(ProtocolError("an answer has other parts")),
         };
-        let fields = Fields(std::str::from_utf8(fields).map_err(|_| Fault("fields can't be read"))?);
+        let fields = Fields(std::str::from_utf8(fields).map_err(|_| ProtocolError("fields can't be read"))?);
         let report = fields.report();
-        let outcome = match (what, word.as_slice()) {
-            (What::Probe | What::Greeting, b"FIT") => Outcome::Ok,
-            (What::Probe | What::Greeting, b"UNFIT") => Outcome::Error,
-            (What::Attempt(_), b"DONE" | b"KEEP") => Outcome::Ok,
-            (What::Attempt(_), b"LACK") => Outcome::Miss,
-            (What::Attempt(_), b"WAIT") => Outcome::Full,
-            (What::Attempt(_), b"BROKE") => Outcome::Error,
-            (What::Attempt(_), b"PAST") => Outcome::Moot,
-            _ => return Err(Fault("an answer says nothing that is known")),
+        let outcome = match (purpose, status.as_slice()) {
+            (Purpose::Probe | Purpose::Greeting, b"FIT") => Outcome::Ok,
+            (Purpose::Probe | Purpose::Greeting, b"UNFIT") => Outcome::Error,
+            (Purpose::Attempt(_), b"DONE" | b"KEEP") => Outcome::Ok,
+            (Purpose::Attempt(_), b"LACK") => Outcome::Miss,
+            (Purpose::Attempt(_), b"WAIT") => Outcome::Full,
+            (Purpose::Attempt(_), b"BROKE") => Outcome::Error,
+            (Purpose::Attempt(_), b"PAST") => Outcome::Moot,
+            _ => return Err(ProtocolError("an answer says nothing that is known")),
         };
-        if what == What::Greeting && named && fields.get("name") != Some(self.member.as_str()) {
+        if purpose == Purpose::Greeting && verify_name && fields.get("name") != Some(self.machine.as_str()) {
             return Err(WRONG_NAME);
         }
-        self.open.remove(id);
-        self.over(now, id.to_owned());
-        Ok(match what {
-            What::Greeting => {
-                self.greeting = None;
-                Heard::Greeted
+        self.outstanding.remove(id);
+        self.close_id(now, id.to_owned());
+        Ok(match purpose {
+            Purpose::Greeting => {
+                self.greeting_deadline = None;
+                EndpointEvent::Greeted
             }
-            What::Probe => Heard::Probe(self.member.clone(), outcome, report),
-            What::Attempt(attempt) => Heard::Answer(
+            Purpose::Probe => EndpointEvent::Probe(self.machine.clone(), outcome, report),
+            Purpose::Attempt(attempt) => EndpointEvent::Answer(
                 attempt,
                 Answer {
                     outcome,
                     body: body.cloned().unwrap_or_default(),
-                    unchanged: word == b"KEEP",
-                    note: fields.get("tell").and_then(note),
+                    unchanged: status == b"KEEP",
+                    note: fields.get("tell").and_then(parse_note),
                     source_wait_ms: fields.number("took"),
                     report,
                 },
--- a/src/back/dials.rs
+++ b/src/back/dials.rs
@@ -1,218 +1,279 @@
 //! The ways of connections: races that are begun and go on, paths that fall mute, and what is left alone for it.
 
-use super::connection::{Link, Open, What};
-use super::{DialEnd, Dialling, Frame, Leave, LinkKey, Links, FURTHER, GREET_MS, MAX_MOVES};
-use crate::addresses::{Book, DialKey, Endpoint, Failure, Race, Step};
+use super::connection::{Connection, Outstanding, Purpose};
+use super::{
+    ConnectionKey, ConnectionPool, DialAction, DialError, EndpointPause, Frame, EXTRA_CONNECTIONS_SHARE,
+    GREETING_TIMEOUT_MS, MAX_MOVES,
+};
+use crate::addresses::{AddressTable, DialKey, DialRace, DialStep, Endpoint, EndpointFailure};
 use crate::api::{CacheId, Millis};
 use crate::reducer::Progress;
 use crate::resp::{self, Decoder};
 use std::collections::{BTreeSet, HashMap, VecDeque};
 
-impl Links {
+impl ConnectionPool {
     /// What is to be dialled and closed now. To be asked again after each dial that ends.
-    pub fn poll(&mut self, now: Millis) -> Vec<Dialling> {
-        let mut todo = Vec::new();
-        for (member, endpoint) in self.book.trials(now) {
-            if (self.links.len() as f64) < FURTHER * self.most as f64 {
-                self.open(now, &member, vec![endpoint], true);
+    pub fn poll_dials(&mut self, now: Millis) -> Vec<DialAction> {
+        let mut actions = Vec::new();
+        for (machine, endpoint) in self.addresses.start_trials(now) {
+            if (self.connections.len() as f64) < EXTRA_CONNECTIONS_SHARE * self.max_connections as f64 {
+                self.open_connection(now, &machine, vec![endpoint], true);
             } else {
-                self.book.untried(now, &member, &endpoint);
+                self.addresses.end_trial(now, &machine, &endpoint);
             }
         }
-        if self.racing.is_empty() {
-            return todo;
+        if self.dialing.is_empty() {
+            return actions;
         }
-        let most_in_all = self.book.rules().map_or(usize::MAX, |rules| rules.in_all);
-        let mut in_all = 0;
-        let mut by_member: HashMap<CacheId, usize> = HashMap::new();
-        for link in self.racing.iter().filter_map(|key| self.links.get(key)) {
-            let open = link.race.as_ref().map_or(0, |race| race.open().len());
-            in_all += open;
-            *by_member.entry(link.member.clone()).or_default() += open;
+        let max_in_all = self.addresses.settings().map_or(usize::MAX, |settings| settings.max_dials);
+        let mut open_in_all = 0;
+        let mut open_by_machine: HashMap<CacheId, usize> = HashMap::new();
+        for connection in self.dialing.iter().filter_map(|key| self.connections.get(key)) {
+            let open = connection.race.as_ref().map_or(0, |race| race.open_dials().len());
+            open_in_all += open;
+            *open_by_machine.entry(connection.machine.clone()).or_default() += open;
         }
-        for key in &self.racing {
-            let Some(link) = self.links.get_mut(key) else { continue };
-            let Some(race) = &mut link.race else { continue };
-            let own = by_member.entry(link.member.clone()).or_default();
+        for key in &self.dialing {
+            let Some(connection) = self.connections.get_mut(key) else { continue };
+            let Some(race) = &mut connection.race else { continue };
+            let own = open_by_machine.entry(connection.machine.clone()).or_default();
             // The ways may have changed since: by the board, a claim, a new file, or another's failure.
-            let ways = match &link.trial {
-                Some(tried) if self.book.own(now, &link.member, tried) => vec![tried.clone()],
+            let endpoints = match &connection.trial {
+                Some(tried) if self.addresses.may_dial(now, &connection.machine, tried) => {
+                    vec![tried.clone()]
+                }
                 Some(_) => Vec::new(),
-                None => self.book.candidates(now, &link.member),
+                None => self.addresses.candidates(now, &connection.machine),
             };
-            for dial in race.restrict(&ways) {
-                (in_all, *own) = (in_all - 1, *own - 1);
-                todo.push(Dialling::Close(dial));
+            for dial in race.restrict(&endpoints) {
+                (open_in_all, *own) = (open_in_all - 1, *own - 1);
+                actions.push(DialAction::Close(dial));
             }
             // Nobody waits for it any more: what was begun may come up and rest, but nothing is dialled anew.
-            if link.retired || (link.open.is_empty() && link.trial.is_none()) {
+            if connection.retired || (connection.outstanding.is_empty() && connection.trial.is_none()) {
                 continue;
             }
-            let most = self.book.most_dials(now, &link.member);
-            let free = most.saturating_sub(*own).min(most_in_all.saturating_sub(in_all));
+            let most = self.addresses.max_dials(now, &connection.machine);
+            let free = most.saturating_sub(*own).min(max_in_all.saturating_sub(open_in_all));
             for step in race.poll(now, free, &mut self.next_dial) {
                 match step {
-                    Step::Start(dial, endpoint) => {
-                        (in_all, *own) = (in_all + 1, *own + 1);
-                        todo.push(Dialling::Start(*key, dial, endpoint));
+                    DialStep::Start(dial, endpoint) => {
+                        (open_in_all, *own) = (open_in_all + 1, *own + 1);
+                        actions.push(DialAction::Start(*key, dial, endpoint));
                     }
-                    Step::Drop(dial, endpoint) => {
-                        (in_all, *own) = (in_all - 1, *own - 1);
-                        todo.push(Dialling::Close(dial));
-                        let leave = left(&mut self.book, now, &link.member, &endpoint, Failure::Overtaken);
-                        todo.extend(leave.map(Dialling::Left));
+                    DialStep::Drop(dial, endpoint) => {
+                        (open_in_all, *own) = (open_in_all - 1, *own - 1);
+                        actions.push(DialAction::Close(dial));
+                        let pause = pause_endpoint(
+                            &mut self.addresses,
+                            now,
+                            &connection.machine,
+                            &endpoint,
+                            EndpointFailure::Overtaken,
+                        );
+                        actions.extend(pause.map(DialAction::Paused));
                     }
                 }
             }
         }
-        todo
+        actions
     }
 
-    /// A dial has ended without a connection. To be followed by [`Links::poll`].
-    pub fn dial_failed(&mut self, now: Millis, key: LinkKey, dial: DialKey, how: DialEnd) -> Option<Leave> {
-        let link = self.links.get_mut(&key)?;
-        let race = link.race.as_mut()?;
+    /// A dial has ended without a connection. To be followed by [`ConnectionPool::poll_dials`].
+    pub fn dial_failed(
+        &mut self,
+        now: Millis,
+        key: ConnectionKey,
+        dial: DialKey,
+        how: DialError,
+    ) -> Option<EndpointPause> {
+        let connection = self.connections.get_mut(&key)?;
+        let race = connection.race.as_mut()?;
         let why = match how {
-            DialEnd::NoRoom => {
-                race.postpone(now, dial, true);
+            DialError::NoRoom => {
+                race.postpone_dial(now, dial, true);
                 return None;
             }
-            DialEnd::Unreachable if !race.has_others() => {
-                race.postpone(now, dial, false); // The route may be back within the time that a dial has.
+            DialError::Unreachable if !race.has_others() => {
+                race.postpone_dial(now, dial, false); // The route may be back within the time that a dial has.
                 return None;
             }
-            DialEnd::Unreachable => Failure::Unreachable,
-            DialEnd::Failed(why) => why,
+            DialError::Unreachable => EndpointFailure::Unreachable,
+            DialError::Failed(why) => why,
         };
-        let endpoint = race.failed(now, dial)?;
-        left(&mut self.book, now, &link.member, &endpoint, why)
+        let endpoint = race.dial_failed(now, dial)?;
+        pause_endpoint(&mut self.addresses, now, &connection.machine, &endpoint, why)
     }
 
     /// A dial is up: its connection goes on over it. What is to be closed and left for that; `None`: nobody
     /// waits for it any more, and it is to be closed itself.
-    pub fn up(&mut self, now: Millis, key: LinkKey, dial: DialKey) -> Option<Vec<Dialling>> {
-        let link = self.links.get_mut(&key)?;
+    pub fn dial_connected(
+        &mut self,
+        now: Millis,
+        key: ConnectionKey,
+        dial: DialKey,
+    ) -> Option<Vec<DialAction>> {
+        let connection = self.connections.get_mut(&key)?;
         // Where there is another way, this one has as long to greet as it would have had to come up.
-        let others = self.book.candidates(now, &link.member).len() > 1;
-        let delay = self.book.rules().filter(|_| others).map(|rules| rules.attempt_delay.1);
-        let wait = delay.unwrap_or(GREET_MS);
-        let won = match link.race.take()?.won(now, dial) {
+        let others = self.addresses.candidates(now, &connection.machine).len() > 1;
+        let delay = self.addresses.settings().filter(|_| others).map(|settings| settings.attempt_delay_ms.1);
+        let wait = delay.unwrap_or(GREETING_TIMEOUT_MS);
+        let won = match connection.race.take()?.win(now, dial) {
             Ok(won) => won,
             Err(race) => {
-                link.race = Some(race);
+                connection.race = Some(race);
                 return None;
             }
         };
-        self.racing.remove(&key);
-        (link.up, link.idle, link.heard) = (Some(now), now, now);
-        self.book.connected(&link.member, &won.endpoint, won.took_ms);
-        link.endpoint = Some(won.endpoint);
-        if link.trial.is_some() || self.book.rules().is_some_and(|rules| rules.names) {
+        self.dialing.remove(&key);
+        (connection.connected_at, connection.idle_since, connection.last_received_at) = (Some(now), now, now);
+        self.addresses.record_connected(&connection.machine, &won.endpoint, won.took_ms);
+        connection.endpoint = Some(won.endpoint);
+        if connection.trial.is_some()
+            || self.addresses.settings().is_some_and(|settings| settings.verify_names)
+        {
             self.next_probe += 1;
             let tag = format!("hello{}", self.next_probe);
             let bytes = resp::frame(&[b"HELO", tag.as_bytes()]);
             let progress = Progress::NotConnected;
-            link.open.insert(tag.clone(), Open { what: What::Greeting, progress, alone: false });
-            link.out.push_front(Frame { bytes, call: None, opens: Some(tag), alone: false, moves: 0 });
-            link.greeting = Some(now + wait);
+            connection
+                .outstanding
+                .insert(tag.clone(), Outstanding { purpose: Purpose::Greeting, progress, alone: false });
+            connection.output.push_front(Frame {
+                bytes,
+                call: None,
+                opens_id: Some(tag),
+                alone: false,
+                moves: 0,
+            });
+            connection.greeting_deadline = Some(now + wait);
         }
-        let mut todo = Vec::new();
+        let mut actions = Vec::new();
         for (dial, endpoint, overtaken) in won.losers {
-            todo.push(Dialling::Close(dial));
+            actions.push(DialAction::Close(dial));
             if overtaken {
-                let leave = left(&mut self.book, now, &link.member, &endpoint, Failure::Overtaken);
-                todo.extend(leave.map(Dialling::Left));
+                let pause = pause_endpoint(
+                    &mut self.addresses,
+                    now,
+                    &connection.machine,
+                    &endpoint,
+                    EndpointFailure::Overtaken,
+                );
+                actions.extend(pause.map(DialAction::Paused));
             }
         }
-        Some(todo)
+        Some(actions)
     }
 
     /// What has just fallen mute: its path is left, and what has not begun to leave moves to another one. Only
     /// where machines have several ways; else the next request shows it.
-    pub fn mute(&mut self, now: Millis) -> (Vec<Leave>, BTreeSet<LinkKey>) {
-        let (mut leaves, mut moved) = (Vec::new(), BTreeSet::new());
-        if self.book.rules().is_none() {
-            return (leaves, moved);
+    pub fn check_unresponsive(&mut self, now: Millis) -> (Vec<EndpointPause>, BTreeSet<ConnectionKey>) {
+        let (mut pauses, mut moved) = (Vec::new(), BTreeSet::new());
+        if self.addresses.settings().is_none() {
+            return (pauses, moved);
         }
-        let newly = |link: &Link| link.up.is_some() && !link.blamed && link.mute(now);
-        let keys: Vec<LinkKey> =
-            self.links.iter().filter(|(_, link)| newly(link)).map(|(key, _)| *key).collect();
+        let newly = |connection: &Connection| {
+            connection.connected_at.is_some()
+                && !connection.silence_reported
+                && connection.is_unresponsive(now)
+        };
+        let keys: Vec<ConnectionKey> = self
+            .connections
+            .iter()
+            .filter(|(_, connection)| newly(connection))
+            .map(|(key, _)| *key)
+            .collect();
         for key in keys {
-            let Some(link) = self.links.get_mut(&key) else { continue };
-            link.blamed = true;
-            let (member, Some(endpoint)) = (link.member.clone(), link.endpoint.clone()) else { continue };
-            leaves.extend(left(&mut self.book, now, &member, &endpoint, Failure::Mute));
-            if self.book.takes(now, &member, &endpoint) {
+            let Some(connection) = self.connections.get_mut(&key) else { continue };
+            connection.silence_reported = true;
+            let (machine, Some(endpoint)) = (connection.machine.clone(), connection.endpoint.clone()) else {
+                continue;
+            };
+            pauses.extend(pause_endpoint(
+                &mut self.addresses,
+                now,
+                &machine,
+                &endpoint,
+                EndpointFailure::Unresponsive,
+            ));
+            if self.addresses.accepts_requests(now, &machine, &endpoint) {
                 continue; // There is no other way.
             }
-            let waits = |open: &Open| matches!(open.what, What::Attempt(_) | What::Probe);
-            let unsent = link.open.iter().filter(|(_, o)| waits(o) && o.progress == Progress::NotConnected);
-            let unsent: Vec<(String, What)> = unsent.map(|(id, open)| (id.clone(), open.what)).collect();
-            for (id, what) in unsent {
-                let Some(link) = self.links.get_mut(&key) else { break };
-                let at = link.out.iter().position(|f| f.opens.as_ref() == Some(&id) && f.moves < MAX_MOVES);
-                let Some(mut frame) = at.and_then(|at| link.out.remove(at)) else { continue };
+            let waits = |open: &Outstanding| matches!(open.purpose, Purpose::Attempt(_) | Purpose::Probe);
+            let unsent = connection
+                .outstanding
+                .iter()
+                .filter(|(_, o)| waits(o) && o.progress == Progress::NotConnected);
+            let unsent: Vec<(String, Purpose)> =
+                unsent.map(|(id, open)| (id.clone(), open.purpose)).collect();
+            for (id, purpose) in unsent {
+                let Some(connection) = self.connections.get_mut(&key) else { break };
+                let at = connection
+                    .output
+                    .iter()
+                    .position(|f| f.opens_id.as_ref() == Some(&id) && f.moves < MAX_MOVES);
+                let Some(mut frame) = at.and_then(|at| connection.output.remove(at)) else { continue };
                 frame.moves += 1;
                 let back = frame.clone();
-                let Some(open) = link.open.remove(&id) else { continue };
-                match self.queue(now, what, &member, frame, true) {
+                let Some(open) = connection.outstanding.remove(&id) else { continue };
+                match self.queue(now, purpose, &machine, frame, true) {
                     Ok((to, _)) => drop(moved.insert(to)),
                     Err(_) => {
-                        let Some(link) = self.links.get_mut(&key) else { break };
-                        link.open.insert(id, open);
-                        link.out.push_back(back);
+                        let Some(connection) = self.connections.get_mut(&key) else { break };
+                        connection.outstanding.insert(id, open);
+                        connection.output.push_back(back);
                     }
                 }
             }
         }
-        (leaves, moved)
+        (pauses, moved)
     }
 
     /// A new connection, to be dialled.
-    pub(super) fn open(
+    pub(super) fn open_connection(
         &mut self,
         now: Millis,
-        member: &CacheId,
-        ways: Vec<Endpoint>,
+        machine: &CacheId,
+        endpoints: Vec<Endpoint>,
         trial: bool,
-    ) -> LinkKey {
-        self.next += 1;
-        let trial = ways.first().filter(|_| trial).cloned();
-        let delay = self.book.delay(member, ways.first());
-        let link = Link {
-            member: member.clone(),
+    ) -> ConnectionKey {
+        self.last_key += 1;
+        let trial = endpoints.first().filter(|_| trial).cloned();
+        let delay = self.addresses.attempt_delay_ms(machine, endpoints.first());
+        let connection = Connection {
+            machine: machine.clone(),
             endpoint: None,
-            race: Some(Race::new(now, ways, delay, now + self.dial_ms)),
-            dialed: now,
-            up: None,
-            greeting: None,
+            race: Some(DialRace::new(now, endpoints, delay, now + self.dial_ms)),
+            dialed_at: now,
+            connected_at: None,
+            greeting_deadline: None,
             trial,
-            blamed: false,
+            silence_reported: false,
             retired: false,
-            unheard: None,
-            idle: now,
-            out: VecDeque::new(),
+            silent_since: None,
+            idle_since: now,
+            output: VecDeque::new(),
             written: 0,
-            open: HashMap::new(),
-            past: VecDeque::new(),
+            outstanding: HashMap::new(),
+            closed_ids: VecDeque::new(),
             decoder: Decoder::default(),
-            heard: now,
-            begun: now,
+            last_received_at: now,
+            answer_started_at: now,
         };
-        self.links.insert(self.next, link);
-        self.racing.insert(self.next);
-        self.next
+        self.connections.insert(self.last_key, connection);
+        self.dialing.insert(self.last_key);
+        self.last_key
     }
 }
 
 /// Has the book leave a path alone; what there is to say of it.
-pub(super) fn left(
-    book: &mut Book,
+pub(super) fn pause_endpoint(
+    addresses: &mut AddressTable,
     now: Millis,
-    member: &CacheId,
+    machine: &CacheId,
     endpoint: &Endpoint,
-    why: Failure,
-) -> Option<Leave> {
-    let until = book.failed(now, member, endpoint, why)?;
-    Some(Leave { member: member.clone(), endpoint: endpoint.clone(), why, pause_ms: until - now })
+    why: EndpointFailure,
+) -> Option<EndpointPause> {
+    let until = addresses.record_failure(now, machine, endpoint, why)?;
+    Some(EndpointPause { machine: machine.clone(), endpoint: endpoint.clone(), why, pause_ms: until - now })
 }
--- a/src/back/wire.rs
+++ b/src/back/wire.rs
@@ -32,7 +32,7 @@
     }
 }
 
-pub(super) fn note(name: &str) -> Option<Note> {
+pub(super) fn parse_note(name: &str) -> Option<Note> {
     Some(match name {
         "cached" => Note::Hit,
         "fetched" => Note::Filled,
@@ -49,12 +49,12 @@
 }
 
 /// How an attempt's time is worded, in whole milliseconds; `None`: it has none of its own.
-pub(super) fn limit(limit_ms: Millis) -> Option<u64> {
+pub(super) fn wire_limit_ms(limit_ms: Millis) -> Option<u64> {
     (limit_ms > 0.0).then(|| limit_ms.ceil() as u64)
 }
 
 /// The bytes of a request that has so much time.
-pub(super) fn request(call: &Call, limit_ms: Millis) -> Vec<u8> {
+pub(super) fn encode_request(call: &Call, limit_ms: Millis) -> Vec<u8> {
     let (ask, fetch) = (&call.ask, &call.fetch);
     let mut fields = format!("cls={}", ask.class);
     let mut field = |name: &str, value: String| fields.extend([",", name, "=", &value]);
@@ -64,7 +64,7 @@
     if let Some(piece) = ask.piece {
         field("chunk", piece.to_string());
     }
-    if let Some(limit) = limit(limit_ms) {
+    if let Some(limit) = wire_limit_ms(limit_ms) {
         field("limit", limit.to_string());
     }
     if fetch.source != fetch.cache {
--- a/src/bin/frostturn-simhost/main.rs
+++ b/src/bin/frostturn-simhost/main.rs
@@ -6,7 +6,7 @@
 mod wire;
 
 use frostturn::api::{Action, Event, ListEntry};
-use frostturn::config::Fault;
+use frostturn::config::ParseError;
 use frostturn::Router;
 use std::collections::{BTreeMap, HashMap};
 use std::io::{self, BufRead, BufWriter, Write};
@@ -38,7 +38,7 @@
 
 impl Host {
     /// Reads one line; true at the end of a batch, when the reply is complete.
-    fn line(&mut self, line: &str) -> Result<bool, Fault> {
+    fn line(&mut self, line: &str) -> Result<bool, ParseError> {
         let mut fields = Fields::new(line);
         let Some(name) = fields.optional() else { return Ok(false) };
         match name {
--- a/src/bin/frostturn-simhost/wire.rs
+++ b/src/bin/frostturn-simhost/wire.rs
@@ -1,7 +1,7 @@
 //! The simulator's wire: lines to events, actions to lines. No decision is taken here.
 
 use frostturn::api::*;
-use frostturn::config::{self, number, Fault};
+use frostturn::config::{self, number, ParseError};
 use std::fmt::Write;
 
 /// The fields of one line, taken from left to right.
@@ -17,23 +17,23 @@
         self.0.next().filter(|text| !text.is_empty() && *text != "-")
     }
 
-    fn required(&mut self, what: &str) -> Result<&'a str, Fault> {
+    fn required(&mut self, what: &str) -> Result<&'a str, ParseError> {
         self.optional().ok_or_else(|| format!("{what} is missing"))
     }
 
-    pub fn whole(&mut self, what: &str) -> Result<u64, Fault> {
+    pub fn whole(&mut self, what: &str) -> Result<u64, ParseError> {
         whole(self.required(what)?, what)
     }
 
-    fn whole_or_zero(&mut self, what: &str) -> Result<u64, Fault> {
+    fn whole_or_zero(&mut self, what: &str) -> Result<u64, ParseError> {
         self.optional().map_or(Ok(0), |text| whole(text, what))
     }
 
-    pub fn number(&mut self, what: &str) -> Result<f64, Fault> {
+    pub fn number(&mut self, what: &str) -> Result<f64, ParseError> {
         number(self.required(what)?, what)
     }
 
-    fn number_or_none(&mut self, what: &str) -> Result<Option<f64>, Fault> {
+    fn number_or_none(&mut self, what: &str) -> Result<Option<f64>, ParseError> {
         self.optional().map(|text| number(text, what)).transpose()
     }
 
@@ -43,7 +43,7 @@
     }
 }
 
-fn whole(text: &str, what: &str) -> Result<u64, Fault> {
+fn whole(text: &str, what: &str) -> Result<u64, ParseError> {
     text.parse::<u64>()
         .or_else(|_| match text.parse::<f64>() {
             Ok(value) if value >= 0.0 && value.fract() == 0.0 && value < 1e18 => Ok(value as u64),
@@ -52,7 +52,7 @@
         .map_err(|()| format!("{what} is not a whole number: {text}"))
 }
 
-fn outcome(code: u64) -> Result<Outcome, Fault> {
+fn outcome(code: u64) -> Result<Outcome, ParseError> {
     Ok(match code {
         200 => Outcome::Ok,
         500 => Outcome::Error,
@@ -83,7 +83,7 @@
     })
 }
 
-fn report(text: Option<&str>) -> Result<LoadReport, Fault> {
+fn report(text: Option<&str>) -> Result<LoadReport, ParseError> {
     let mut report = LoadReport::default();
     for pair in text.unwrap_or_default().split(',').filter(|pair| !pair.is_empty()) {
         let (name, value) =
@@ -96,7 +96,7 @@
 }
 
 /// Reads one `ROW` line of an inventory, its name taken off already.
-pub fn row(mut fields: Fields) -> Result<ListEntry, Fault> {
+pub fn row(mut fields: Fields) -> Result<ListEntry, ParseError> {
     let kind = fields.optional().unwrap_or_default().into();
     let cell = fields.whole_or_zero("Block")?;
     let zone = fields.optional().unwrap_or_default().into();
@@ -113,7 +113,7 @@
 }
 
 /// Reads the mode and the page of a `MEMBERSHIP` line.
-pub fn membership(mut fields: Fields) -> Result<(ListMode, Option<u64>), Fault> {
+pub fn membership(mut fields: Fields) -> Result<(ListMode, Option<u64>), ParseError> {
     let mode = match fields.required("Mode")? {
         "incr" => ListMode::Changes,
         "total" => ListMode::Full,
@@ -127,7 +127,11 @@
 }
 
 /// Reads an event other than a list; `None` for a message that is not known.
-pub fn event(name: &str, mut fields: Fields, class: impl Fn(&str) -> usize) -> Result<Option<Event>, Fault> {
+pub fn event(
+    name: &str,
+    mut fields: Fields,
+    class: impl Fn(&str) -> usize,
+) -> Result<Option<Event>, ParseError> {
     Ok(Some(match name {
         "CALL" => Event::Request(ClientRequest {
             id: fields.required("Xid")?.into(),
@@ -173,7 +177,7 @@
 }
 
 /// Reads the pairs of a `SPAWN` line.
-pub fn settings(fields: Fields) -> Result<Settings, Fault> {
+pub fn settings(fields: Fields) -> Result<Settings, ParseError> {
     config::settings(&fields.0.filter_map(|pair| pair.split_once('=')).collect())
 }
 
--- a/src/config.rs
+++ b/src/config.rs
@@ -6,7 +6,7 @@
 mod check;
 
 use crate::api::*;
-use crate::discovery::{self, Notice};
+use crate::discovery::{self, DiscoveryEvent};
 use crate::errno;
 use crate::operator::{self, Operator};
 use simd_json::prelude::*;
@@ -16,26 +16,26 @@
 use std::path::PathBuf;
 
 /// Why something cannot be read.
-pub type Fault = String;
+pub type ParseError = String;
 
 /// How long a purge bounds the age of copies where no setting says when all have dropped theirs.
-const PURGES_KEPT_MS: Millis = 3_600_000.0;
+const DEFAULT_PURGE_AGE_BOUND_MS: Millis = 3_600_000.0;
 
 /// What the network side needs of the settings.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Net {
+pub struct NetworkSettings {
     /// A connection that isn't up after this long counts as refused.
     pub dial_timeout_ms: Millis,
     /// Machines close connections that were idle for so long.
     pub idle_ms: Millis,
     /// Attempts that one connection carries at once.
-    pub streams: usize,
+    pub streams_per_connection: usize,
     /// Requests that may be open.
-    pub max_open: usize,
+    pub max_open_requests: usize,
     /// Memory that all its processes may use, in bytes.
-    pub memory: usize,
+    pub memory_bytes: usize,
     /// File descriptors that it may hold.
-    pub sockets: usize,
+    pub max_descriptors: usize,
     /// Bytes a second that one transfer to a client brings at most; `None`: not told.
     pub flow_bytes_per_s: Option<f64>,
 }
@@ -48,21 +48,21 @@
     /// Where clients connect.
     pub listen: SocketAddr,
     /// The notice board.
-    pub board: SocketAddr,
+    pub discovery_address: SocketAddr,
     /// Where operators call, if anywhere.
     pub ops: Option<SocketAddr>,
     /// For random choices.
     pub seed: u64,
     /// The notice board's last event that `known` holds.
-    pub rev: u64,
+    pub known_rev: u64,
     /// The events of the start.
-    pub known: Vec<Notice>,
+    pub known_events: Vec<DiscoveryEvent>,
     /// The module's settings.
     pub settings: Settings,
     /// The network side's.
-    pub net: Net,
+    pub net: NetworkSettings,
     /// What there is to say of the settings.
-    pub remarks: Vec<String>,
+    pub warnings: Vec<String>,
 }
 
 /// Where the config and the operator's file are, and what goes before them.
@@ -82,45 +82,45 @@
 
 /// Why the files can't be taken.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct LoadFault {
+pub struct LoadError {
     /// What is wrong.
-    pub words: String,
+    pub message: String,
     /// They could not be read in a way that may pass: nothing is known against them.
-    pub may_pass: bool,
+    pub transient: bool,
 }
 
-impl LoadFault {
-    fn unread(path: &std::path::Path, error: &std::io::Error) -> Self {
-        Self { words: format!("{}: {error}", path.display()), may_pass: errno::may_pass(error) }
+impl LoadError {
+    fn unreadable(path: &std::path::Path, error: &std::io::Error) -> Self {
+        Self { message: format!("{}: {error}", path.display()), transient: errno::may_pass(error) }
     }
 }
 
-impl From<Fault> for LoadFault {
-    fn from(words: Fault) -> Self {
-        Self { words, may_pass: false }
+impl From<ParseError> for LoadError {
+    fn from(message: ParseError) -> Self {
+        Self { message, transient: false }
     }
 }
 
 impl Sources {
     /// Reads both, or neither.
-    pub fn load(&self) -> Result<(Config, Operator), LoadFault> {
+    pub fn load(&self) -> Result<(Config, Operator), LoadError> {
         let path = self.config.as_ref().ok_or_else(|| "PROXY_CONFIG isn't set".to_owned())?;
         let shown = path.display();
-        let bytes = std::fs::read(path).map_err(|e| LoadFault::unread(path, &e))?;
+        let bytes = std::fs::read(path).map_err(|e| LoadError::unreadable(path, &e))?;
         let config = Config::read(bytes, self.name.clone(), self.listen.clone());
         let mut config = config.map_err(|e| format!("{shown}: {e}"))?;
         if let Some(ops) = &self.ops {
             config.ops = Some(ops.parse().map_err(|_| format!("ops is not an address: {ops}"))?);
         }
         let Some(path) = self.operator.as_deref() else { return Ok((config, Operator::default())) };
-        let bytes = operator::read_bytes(path).map_err(|e| LoadFault::unread(path, &e))?;
+        let bytes = operator::read_bytes(path).map_err(|e| LoadError::unreadable(path, &e))?;
         Ok((config, Operator::read_named(&bytes, path)?))
     }
 }
 
 impl Config {
     /// Reads the JSON; the name and the address given go before what it says.
-    pub fn read(mut json: Vec<u8>, name: Option<String>, listen: Option<String>) -> Result<Self, Fault> {
+    pub fn read(mut json: Vec<u8>, name: Option<String>, listen: Option<String>) -> Result<Self, ParseError> {
         let value = simd_json::to_owned_value(&mut json).map_err(|e| format!("not JSON: {e}"))?;
         let text = |key: &str| value.get_str(key).map(str::to_owned);
         let address = |text: Option<String>, what: &str| {
@@ -132,16 +132,17 @@
         let mut pairs = Vec::new();
         flatten("", value.get("settings").ok_or("settings are missing")?, &mut pairs);
         let options: Options = pairs.iter().map(|(path, value)| (path.as_str(), value.as_str())).collect();
-        let or = |path: &str, usual: f64| options.number(path).map(|n| if n > 0.0 { n } else { usual });
-        let limit = |key: &str, usual: f64| {
-            let told = value.get("limits").and_then(|limits| limits.get(key)).and_then(|v| v.cast_f64());
-            told.filter(|n| *n > 0.0).unwrap_or(usual)
+        let positive_or =
+            |path: &str, default: f64| options.number(path).map(|n| if n > 0.0 { n } else { default });
+        let limit = |key: &str, default: f64| {
+            let given = value.get("limits").and_then(|limits| limits.get(key)).and_then(|v| v.cast_f64());
+            given.filter(|n| *n > 0.0).unwrap_or(default)
         };
-        let (rev, known) = match value.get("known") {
-            Some(known) => discovery::notices(known).map_err(|e| format!("known: {e}"))?,
+        let (known_rev, known_events) = match value.get("known") {
+            Some(known) => discovery::parse_events(known).map_err(|e| format!("known: {e}"))?,
             None => (0, Vec::new()),
         };
-        let remarks = check::remarks(&options)?;
+        let warnings = check::warnings(&options)?;
         let mut settings = settings(&options)?;
         settings.limits.max_attempts = settings.limits.max_attempts.max(1); // None at all would serve nobody.
         if settings.classes.is_empty() {
@@ -150,25 +151,25 @@
         Ok(Self {
             name: name.or(text("name")).unwrap_or_default(),
             listen: address(listen.or(text("listen")), "listen")?,
-            board: address(text("board"), "board")?,
+            discovery_address: address(text("board"), "board")?,
             ops: text("ops").map(|ops| address(Some(ops), "ops")).transpose()?,
             seed,
-            rev,
-            known,
-            net: Net {
-                dial_timeout_ms: or("Limits.DialTimeoutMs", 400.0)?,
-                idle_ms: or("Limits.ConnIdleMs", 30_000.0)?,
-                streams: or("Limits.StreamsPerConn", 32.0)? as usize,
-                max_open: or("Limits.MaxOpen", 4096.0)? as usize,
-                memory: (limit("memory_mb", 192.0) * 1e6) as usize,
-                sockets: limit("sockets", 1024.0) as usize,
+            known_rev,
+            known_events,
+            net: NetworkSettings {
+                dial_timeout_ms: positive_or("Limits.DialTimeoutMs", 400.0)?,
+                idle_ms: positive_or("Limits.ConnIdleMs", 30_000.0)?,
+                streams_per_connection: positive_or("Limits.StreamsPerConn", 32.0)? as usize,
+                max_open_requests: positive_or("Limits.MaxOpen", 4096.0)? as usize,
+                memory_bytes: (limit("memory_mb", 192.0) * 1e6) as usize,
+                max_descriptors: limit("sockets", 1024.0) as usize,
                 flow_bytes_per_s: value
                     .get("flow_bytes_per_s")
                     .and_then(|flow| flow.cast_f64())
                     .filter(|flow| *flow > 0.0 && flow.is_finite()),
             },
             settings,
-            remarks,
+            warnings,
         })
     }
 }
@@ -184,14 +185,14 @@
             pairs.push((below("count"), list.len().to_string()));
             list.iter().enumerate().for_each(|(at, item)| flatten(&below(&at.to_string()), item, pairs));
         } else {
-            pairs.push((path.to_owned(), list.iter().map(plain).collect::<Vec<_>>().join(",")));
+            pairs.push((path.to_owned(), list.iter().map(scalar).collect::<Vec<_>>().join(",")));
         }
     } else {
-        pairs.push((path.to_owned(), plain(value)));
+        pairs.push((path.to_owned(), scalar(value)));
     }
 }
 
-fn plain(value: &OwnedValue) -> String {
+fn scalar(value: &OwnedValue) -> String {
     match value.as_str() {
         Some(text) => text.to_owned(),
         None if value.is_null() => "-".to_owned(),
@@ -211,7 +212,7 @@
 }
 
 /// Reads a finite number.
-pub fn number(text: &str, what: &str) -> Result<f64, Fault> {
+pub fn number(text: &str, what: &str) -> Result<f64, ParseError> {
     text.parse::<f64>()
         .ok()
         .filter(|value| value.is_finite())
@@ -237,31 +238,31 @@
         self.text(path).split(',').filter(|item| !item.is_empty())
     }
 
-    fn number(&self, path: &str) -> Result<f64, Fault> {
+    fn number(&self, path: &str) -> Result<f64, ParseError> {
         self.number_or(path, 0.0)
     }
 
     /// A figure, or what stands where it is missing.
-    fn number_or(&self, path: &str, missing: f64) -> Result<f64, Fault> {
+    fn number_or(&self, path: &str, missing: f64) -> Result<f64, ParseError> {
         match self.text(path) {
             "" | "-" => Ok(missing),
             text => number(text, path),
         }
     }
 
-    fn numbers(&self, path: &str) -> Result<Vec<f64>, Fault> {
+    fn numbers(&self, path: &str) -> Result<Vec<f64>, ParseError> {
         self.list(path).map(|text| number(text, path)).collect()
     }
 
-    fn yes(&self, path: &str) -> bool {
+    fn flag(&self, path: &str) -> bool {
         matches!(self.text(path), "true" | "1")
     }
 
-    fn yeses(&self, path: &str) -> Vec<bool> {
+    fn flags(&self, path: &str) -> Vec<bool> {
         self.list(path).map(|text| matches!(text, "true" | "1")).collect()
     }
 
-    fn kind(&self, path: &str) -> Result<Option<MachineKind>, Fault> {
+    fn kind(&self, path: &str) -> Result<Option<MachineKind>, ParseError> {
         let place = self.number_or(path, -1.0)?;
         Ok(self
             .list("MachineTypes")
@@ -272,7 +273,7 @@
 }
 
 /// Reads the module's settings from the pairs.
-pub fn settings(options: &Options) -> Result<Settings, Fault> {
+pub fn settings(options: &Options) -> Result<Settings, ParseError> {
     let guarantees = Guarantees {
         grace_to_answer_ms: options.number("Guarantees.GraceToAnswerMs")?,
         stop_sending_ms: options.number("Guarantees.StopSendingWithinMs")?,
@@ -285,28 +286,28 @@
         parent_fall_multiple: options.number("FamilyInfo.UpperFallMultiple")?,
         purge_notice_ms: options.number("FamilyInfo.NoticeTimeMs")?,
         // Bounding ages for too long costs memory alone; for too short it would let a purged copy answer.
-        purge_gone_ms: options.number_or("FamilyInfo.GoneEverywhereMs", PURGES_KEPT_MS)?,
+        purge_gone_ms: options.number_or("FamilyInfo.GoneEverywhereMs", DEFAULT_PURGE_AGE_BOUND_MS)?,
     };
     let limits = Limits {
         max_attempts: options.number("Limits.MostTries")? as usize,
-        cancelling: options.yes("Limits.Cancelling"),
-        probes: options.yes("Limits.Probes"),
-        retry_after: options.yes("Limits.RetryAfter"),
+        cancelling: options.flag("Limits.Cancelling"),
+        probes: options.flag("Limits.Probes"),
+        retry_after: options.flag("Limits.RetryAfter"),
         max_retry_after_ms: options.number("Limits.MaxRetryAfterMs")?,
-        second_copies: options.yes("Limits.SecondCopies"),
+        second_copies: options.flag("Limits.SecondCopies"),
     };
     Ok(Settings {
         zone: Some(options.text("Az")).filter(|name| !name.is_empty()).map(Zone::from),
         zones: options.list("Localities").map(Zone::from).collect(),
-        routers_by_zone: as_whole(options.numbers("FamilyInfo.InstancesByZone")?),
+        routers_by_zone: as_integers(options.numbers("FamilyInfo.InstancesByZone")?),
         zone_hubs: options.numbers("FamilyInfo.ZoneHub")?.iter().map(|hub| *hub as usize).collect(),
         zone_links_kb_per_s: options.numbers("FamilyInfo.LinkInKbPerS")?,
         routers: options.number("Instances")? as u32,
         classes: classes(options)?,
         parent_kind: options.kind("FamilyInfo.SecondTierKind")?,
         origin_kind: options.kind("FamilyInfo.MasterKind")?,
-        bypass_allowed: options.yes("FamilyInfo.BypassAllowed"),
-        joins: options.yes("FamilyInfo.Joins"),
+        bypass_allowed: options.flag("FamilyInfo.BypassAllowed"),
+        joins: options.flag("FamilyInfo.Joins"),
         detail: match options.text("FamilyInfo.Detail") {
             "all" => Detail::All,
             "hit" => Detail::Hit,
@@ -338,16 +339,16 @@
     })
 }
 
-fn as_whole(values: Vec<f64>) -> Vec<u32> {
+fn as_integers(values: Vec<f64>) -> Vec<u32> {
     values.into_iter().map(|value| value as u32).collect()
 }
 
-fn classes(options: &Options) -> Result<Vec<ClassSettings>, Fault> {
+fn classes(options: &Options) -> Result<Vec<ClassSettings>, ParseError> {
     let fresh = options.numbers("FamilyInfo.GoodForMs")?;
     let stale = options.numbers("FamilyInfo.StaleForMs")?;
     let stale_worth = options.numbers("FamilyInfo.StaleEarns")?;
-    let in_pieces = options.yeses("FamilyInfo.InPieces");
-    let uncached = options.yeses("FamilyInfo.Uncached");
+    let in_pieces = options.flags("FamilyInfo.InPieces");
+    let uncached = options.flags("FamilyInfo.Uncached");
     let count = options.number("RequestClasses.count")?.clamp(0.0, 1e4) as usize;
     (0..count)
         .map(|at| {
@@ -370,7 +371,7 @@
                 repeat,
                 worth: options.number(&path("Worth"))?,
                 late_worth: options.number(&path("LateWorth"))?,
-                stream: options.yes(&path("Stream")),
+                stream: options.flag(&path("Stream")),
                 fresh_ms: fresh.get(at).copied().filter(|span| *span > 0.0),
                 stale_ms: stale.get(at).copied().unwrap_or_default(),
                 stale_worth: stale_worth.get(at).copied().unwrap_or_default(),
--- a/src/config/check.rs
+++ b/src/config/check.rs
@@ -1,11 +1,11 @@
 //! What is said of settings at the start: one out of range ends it, one that is missing or says an unknown word is told
 //! with what stands instead. Which names there are and what they mean is the operators' wire page's.
 
-use super::{number, Fault, Options};
+use super::{number, Options, ParseError};
 use std::collections::HashSet;
 
 /// Single figures, and the most that each may be.
-const FIGURES: [(&str, f64); 18] = [
+const NUMBERS: [(&str, f64); 18] = [
     ("Guarantees.GraceToAnswerMs", f64::MAX),
     ("Guarantees.StopSendingWithinMs", f64::MAX),
     ("Guarantees.ColdFrom", 1.0),
@@ -27,7 +27,7 @@
 ];
 
 /// Lists of figures, one a class or a zone.
-const LISTS: [(&str, f64); 5] = [
+const NUMBER_LISTS: [(&str, f64); 5] = [
     ("FamilyInfo.GoodForMs", f64::MAX),
     ("FamilyInfo.StaleForMs", f64::MAX),
     ("FamilyInfo.StaleEarns", 1.0),
@@ -36,7 +36,7 @@
 ];
 
 /// Words, those that are known, and what an unknown one is taken for: what allows least.
-const WORDS: [(&str, &[&str], &str); 5] = [
+const KEYWORDS: [(&str, &[&str], &str); 5] = [
     ("Discovery", &["push", "ask"], "push"),
     ("FamilyInfo.Detail", &["all", "hit", "silent"], "silent"),
     ("FamilyInfo.Sideways", &["any", "location", "silent"], "silent"),
@@ -44,20 +44,20 @@
     ("Stats.Source", &["piggyback", "pull", "silent"], "silent"),
 ];
 
-/// The remarks on settings that can be lived with; a fault for one that can't.
-pub(super) fn remarks(options: &Options) -> Result<Vec<String>, Fault> {
-    let (mut remarks, mut missing) = (Vec::new(), Vec::new());
-    for (path, most) in FIGURES {
+/// The warnings on settings that can be lived with; a fault for one that can't.
+pub(super) fn warnings(options: &Options) -> Result<Vec<String>, ParseError> {
+    let (mut warnings, mut missing) = (Vec::new(), Vec::new());
+    for (path, max) in NUMBERS {
         match options.text(path) {
             "" | "-" => missing.push(path.to_owned()),
-            text => within(text, path, most)?,
+            text => check_range(text, path, max)?,
         }
     }
-    for (path, most) in LISTS {
-        options.list(path).try_for_each(|text| within(text, path, most))?;
+    for (path, max) in NUMBER_LISTS {
+        options.list(path).try_for_each(|text| check_range(text, path, max))?;
     }
     let mut words: Vec<(String, &[&str], &str)> =
-        WORDS.iter().map(|(path, known, instead)| ((*path).to_owned(), *known, *instead)).collect();
+        KEYWORDS.iter().map(|(path, known, fallback)| ((*path).to_owned(), *known, *fallback)).collect();
     let mut names = HashSet::new();
     for at in 0..options.number("RequestClasses.count")?.clamp(0.0, 1e4) as usize {
         let path = |key: &str| format!("RequestClasses.{at}.{key}");
@@ -66,9 +66,9 @@
             return Err(format!("{} is missing or that of another class: {name}", path("Name")));
         }
         for key in ["AimMs", "HardLimitMs", "DedupWindowMs", "AimStretch", "Worth"] {
-            options.list(&path(key)).try_for_each(|text| within(text, &path(key), f64::MAX))?;
+            options.list(&path(key)).try_for_each(|text| check_range(text, &path(key), f64::MAX))?;
         }
-        within(options.text(&path("LateWorth")), &path("LateWorth"), 1.0)?;
+        check_range(options.text(&path("LateWorth")), &path("LateWorth"), 1.0)?;
         if options.number(&path("HardLimitMs"))? == 0.0 {
             return Err(format!("{} is missing: nobody of {name} would be served", path("HardLimitMs")));
         }
@@ -80,25 +80,25 @@
             }
         }
     }
-    for (path, known, instead) in words {
+    for (path, known, fallback) in words {
         match options.text(&path) {
             "" | "-" => missing.push(path),
             text if known.contains(&text) => {}
-            text => remarks.push(format!("{path} is unknown: {text}; {instead} stands")),
+            text => warnings.push(format!("{path} is unknown: {text}; {fallback} stands")),
         }
     }
     let zone = options.text("Az");
     if !options.list("Localities").any(|known| known == zone) {
-        remarks.push(format!("Az is none of the Localities: {zone}"));
+        warnings.push(format!("Az is none of the Localities: {zone}"));
     }
     if !missing.is_empty() {
-        remarks.push(format!("missing, defaults stand: {}", missing.join(", ")));
+        warnings.push(format!("missing, defaults stand: {}", missing.join(", ")));
     }
-    Ok(remarks)
+    Ok(warnings)
 }
 
-fn within(text: &str, path: &str, most: f64) -> Result<(), Fault> {
-    if matches!(text, "" | "-") || (0.0..=most).contains(&number(text, path)?) {
+fn check_range(text: &str, path: &str, max: f64) -> Result<(), ParseError> {
+    if matches!(text, "" | "-") || (0.0..=max).contains(&number(text, path)?) {
         return Ok(());
     }
     Err(format!("{path} is out of range: {text}"))
--- a/src/fastcgi.rs
+++ b/src/fastcgi.rs
@@ -34,13 +34,13 @@
     pub const UNKNOWN_ROLE: u8 = 3;
 }
 
-const HEADER: usize = 8;
+const HEADER_BYTES: usize = 8;
 /// The largest piece of an answer in one record: a multiple of 8, so that it needs no padding.
-const PIECE: usize = 32_768;
+const MAX_STDOUT_BYTES: usize = 32_768;
 
 /// Why bytes can't be read; the connection ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fault {
+pub enum ProtocolError {
     /// Not version 1.
     Version(u8),
     /// A record that breaks the protocol's order or form.
@@ -76,11 +76,11 @@
     }
 
     /// The next whole record.
-    pub fn next_record(&mut self) -> Result<Option<Record>, Fault> {
+    pub fn next_record(&mut self) -> Result<Option<Record>, ProtocolError> {
         let rest = self.bytes.rest();
-        let Some((header, rest)) = rest.split_at_checked(HEADER) else { return Ok(None) };
+        let Some((header, rest)) = rest.split_at_checked(HEADER_BYTES) else { return Ok(None) };
         if header[0] != 1 {
-            return Err(Fault::Version(header[0]));
+            return Err(ProtocolError::Version(header[0]));
         }
         let length = usize::from(u16::from_be_bytes([header[4], header[5]]));
         let whole = length + usize::from(header[6]);
@@ -92,7 +92,7 @@
             request: u16::from_be_bytes([header[2], header[3]]),
             content: rest[..length].to_vec(),
         };
-        self.bytes.advance(HEADER + whole);
+        self.bytes.advance(HEADER_BYTES + whole);
         Ok(Some(record))
     }
 }
@@ -110,12 +110,12 @@
 
 /// The records of a whole answer, each by itself.
 pub fn answer(request: u16, head: &str, body: &[u8]) -> Vec<Vec<u8>> {
-    let mut records = Vec::with_capacity(2 + body.len() / PIECE);
+    let mut records = Vec::with_capacity(2 + body.len() / MAX_STDOUT_BYTES);
     let mut first = head.as_bytes().to_vec();
-    let (start, rest) = body.split_at(body.len().min(PIECE - first.len().min(PIECE)));
+    let (start, rest) = body.split_at(body.len().min(MAX_STDOUT_BYTES - first.len().min(MAX_STDOUT_BYTES)));
     first.extend_from_slice(start);
-    for content in std::iter::once(first.as_slice()).chain(rest.chunks(PIECE)) {
-        let mut out = Vec::with_capacity(content.len() + 2 * HEADER);
+    for content in std::iter::once(first.as_slice()).chain(rest.chunks(MAX_STDOUT_BYTES)) {
+        let mut out = Vec::with_capacity(content.len() + 2 * HEADER_BYTES);
         record(&mut out, kind::STDOUT, request, content);
         records.push(out);
     }
@@ -133,14 +133,14 @@
     out
 }
 
-fn length(bytes: &mut &[u8]) -> Result<usize, Fault> {
-    const CUT: Fault = Fault::Malformed("a parameter is cut short");
-    let (first, rest) = bytes.split_first().ok_or(CUT)?;
+fn read_length(bytes: &mut &[u8]) -> Result<usize, ProtocolError> {
+    const TRUNCATED: ProtocolError = ProtocolError::Malformed("a parameter is cut short");
+    let (first, rest) = bytes.split_first().ok_or(TRUNCATED)?;
     if *first < 0x80 {
         *bytes = rest;
         return Ok(usize::from(*first));
     }
-    let (more, rest) = rest.split_first_chunk::<3>().ok_or(CUT)?;
+    let (more, rest) = rest.split_first_chunk::<3>().ok_or(TRUNCATED)?;
     *bytes = rest;
     Ok(u32::from_be_bytes([first & 0x7f, more[0], more[1], more[2]]) as usize)
 }
@@ -149,12 +149,12 @@
 pub type Pair<'a> = (&'a [u8], &'a [u8]);
 
 /// Reads name-value pairs.
-pub fn pairs(mut bytes: &[u8]) -> Result<Vec<Pair<'_>>, Fault> {
+pub fn pairs(mut bytes: &[u8]) -> Result<Vec<Pair<'_>>, ProtocolError> {
     let mut pairs = Vec::new();
     while !bytes.is_empty() {
-        let (name, value) = (length(&mut bytes)?, length(&mut bytes)?);
+        let (name, value) = (read_length(&mut bytes)?, read_length(&mut bytes)?);
         let whole = name.checked_add(value).filter(|whole| *whole <= bytes.len());
-        let whole = whole.ok_or(Fault::Malformed("a parameter's length is impossible"))?;
+        let whole = whole.ok_or(ProtocolError::Malformed("a parameter's length is impossible"))?;
         let (pair, rest) = bytes.split_at(whole);
         pairs.push(pair.split_at(name));
         bytes = rest;
--- a/src/operator/addresses.rs
+++ b/src/operator/addresses.rs
@@ -2,7 +2,7 @@
 
 use super::form::{Node, Reader};
 use super::head;
-use crate::addresses::{Endpoint, Family, Rules, MAX_DIALS, MAX_ENDPOINTS};
+use crate::addresses::{AddressSettings, Endpoint, Family, MAX_DIALS, MAX_ENDPOINTS};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::path::Path;
@@ -17,8 +17,8 @@
 const MAX_PATH: usize = 107;
 const MAX_MACHINES: usize = 4096;
 
-pub(super) fn read(reader: &mut Reader, parts: &[Node]) -> Rules {
-    let (mut rules, mut seen) = (Rules::default(), Vec::new());
+pub(super) fn read(reader: &mut Reader, parts: &[Node]) -> AddressSettings {
+    let (mut rules, mut seen) = (AddressSettings::default(), Vec::new());
     let mut places: BTreeMap<Endpoint, String> = BTreeMap::new();
     for part in parts {
         let Some((word, rest)) = reader.section(part, &WORDS, &mut seen) else { continue };
@@ -26,12 +26,12 @@
             "order" => order(reader, part, rest, &mut rules),
             "attempt-delay" => {
                 if let Some(both) = span(reader, part, rest, DELAY_MS) {
-                    rules.attempt_delay = both;
+                    rules.attempt_delay_ms = both;
                 }
             }
             "pause" => {
                 if let Some(both) = span(reader, part, rest, PAUSE_MS) {
-                    rules.pause = both;
+                    rules.pause_ms = both;
                 }
             }
             "dials-per-machine" => {
@@ -43,29 +43,30 @@
                             format!("breaks the rule on cold boxes: at most {MAX_DIALS} handshakes at once"),
                         );
                     }
-                    count => rules.per_machine = count.unwrap_or(rules.per_machine),
+                    count => rules.max_dials_per_machine = count.unwrap_or(rules.max_dials_per_machine),
                 }
             }
             "dials" => {
                 let Some([one]) = reader.exactly(part.at, rest) else { continue };
-                rules.in_all = reader.whole(one, 1, 10_000).unwrap_or(rules.in_all);
+                rules.max_dials = reader.whole(one, 1, 10_000).unwrap_or(rules.max_dials);
             }
             "names" => {
                 let Some([one]) = reader.exactly(part.at, rest) else { continue };
-                rules.names = reader.word(one, &["checked", "ignored"]) == Some("checked");
+                rules.verify_names = reader.word(one, &["checked", "ignored"]) == Some("checked");
             }
             _ => machine(reader, part, rest, &mut rules, &mut places),
         }
     }
     for (name, endpoints) in &rules.machines {
-        if let Some(lost) = endpoints.iter().find(|endpoint| !rules.order.contains(&endpoint.family())) {
+        if let Some(lost) = endpoints.iter().find(|endpoint| !rules.family_order.contains(&endpoint.family()))
+        {
             reader.fault((1, 1), format!("{lost} of {name} is of a family that the order leaves out"));
         }
     }
     rules
 }
 
-fn order(reader: &mut Reader, part: &Node, rest: &[Node], rules: &mut Rules) {
+fn order(reader: &mut Reader, part: &Node, rest: &[Node], rules: &mut AddressSettings) {
     let mut order = Vec::new();
     for node in rest {
         let family = match reader.word(node, &["unix", "ipv6", "ipv4"]) {
@@ -82,7 +83,7 @@
     if rest.is_empty() {
         reader.fault(part.at, "at least one of unix, ipv6, ipv4 is wanted");
     } else {
-        rules.order = order;
+        rules.family_order = order;
     }
 }
 
@@ -109,7 +110,7 @@
     reader: &mut Reader,
     part: &Node,
     rest: &[Node],
-    rules: &mut Rules,
+    rules: &mut AddressSettings,
     places: &mut BTreeMap<Endpoint, String>,
 ) {
     let Some((name, endpoints)) = rest.split_first() else {
--- a/src/operator/mod.rs
+++ b/src/operator/mod.rs
@@ -10,7 +10,7 @@
 
 pub use form::{Fault, Faults};
 
-use crate::addresses::Rules;
+use crate::addresses::AddressSettings;
 use crate::plugins::Spec;
 use form::{Form, Node, Reader};
 use std::io::Read;
@@ -26,7 +26,7 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Operator {
     /// `(addresses …)`: several addresses for one machine.
-    pub addresses: Option<Rules>,
+    pub addresses: Option<AddressSettings>,
     /// `(plugins …)`: the operators' own programs that give advice, in their order.
     pub plugins: Vec<Spec>,
     /// `(ops (unix …))`: a Unix socket where operators call, beside the config's place or without one.
@@ -42,7 +42,7 @@
     ///
     /// ```
     /// let good = frostturn::operator::Operator::read(b"(frostturn (addresses (order ipv6 ipv4)))");
-    /// assert_eq!(good.unwrap().addresses.unwrap().order.len(), 2);
+    /// assert_eq!(good.unwrap().addresses.unwrap().family_order.len(), 2);
     /// let bad = frostturn::operator::Operator::read(b"(frostturn\n  (adresses))").unwrap_err();
     /// assert!(bad.to_string().starts_with("2:4: "));
     /// ```
--- a/src/reducer/machines.rs
+++ b/src/reducer/machines.rs
@@ -3,10 +3,10 @@
 use super::*;
 
 impl Reducer {
-    pub(super) fn notice(&mut self, now: Millis, notice: Notice) {
-        match notice.word {
+    pub(super) fn notice(&mut self, now: Millis, notice: DiscoveryEvent) {
+        match notice.announcement {
             None => {}
-            Some(Word::Purge { object, group, made_unix_ms }) => {
+            Some(Announcement::Purge { object, group, made_unix_ms }) => {
                 self.counters.purges += 1;
                 let named = object.as_deref().map(ObjectId::from);
                 let age_ms = now - self.wall_clock.instant(now, made_unix_ms);
@@ -22,7 +22,7 @@
                 let concerned: Vec<AttemptKey> = concerned.copied().collect();
                 concerned.into_iter().for_each(|key| self.pull(now, key));
             }
-            Some(Word::Pool { whole, machines }) => {
+            Some(Announcement::Pool { snapshot: whole, machines }) => {
                 self.counters.lists += 1;
                 self.pool(now, whole, machines, false);
             }
@@ -37,7 +37,7 @@
     }
 
     /// The board tells of machines. `restarted`: an operator took them back, so that they count as started now.
-    pub(super) fn pool(&mut self, now: Millis, whole: bool, machines: Vec<Listed>, restarted: bool) {
+    pub(super) fn pool(&mut self, now: Millis, whole: bool, machines: Vec<ListedMachine>, restarted: bool) {
         if whole {
             for (name, member) in &mut self.members {
                 if !machines.iter().any(|listed| listed.name == name.as_str()) {
--- a/src/reducer/mod.rs
+++ b/src/reducer/mod.rs
@@ -12,9 +12,9 @@
 use crate::addresses::Listing;
 use crate::api::*;
 use crate::clock::{UnixTime, WallClock};
-use crate::config::Net;
+use crate::config::NetworkSettings;
 use crate::counters::Counters;
-use crate::discovery::{Listed, Notice, Word};
+use crate::discovery::{Announcement, DiscoveryEvent, ListedMachine};
 use crate::ops;
 use crate::plugins::{About, Loaded, Plugins, Watch};
 use crate::service::{Exclusions, Service, DRAINED_BY_MS};
@@ -126,7 +126,7 @@
     module: Router,
     settings: Settings,
     classes: HashMap<String, (usize, bool)>,
-    net: Net,
+    net: NetworkSettings,
     wall_clock: WallClock,
     members: BTreeMap<CacheId, Member>,
     listed: bool,
@@ -144,7 +144,7 @@
     held_bytes: usize,
     service: Service,
     /// Machines as the board listed them last, and those that operators have taken out.
-    listed_as: BTreeMap<CacheId, Listed>,
+    listed_as: BTreeMap<CacheId, ListedMachine>,
     excluded: Exclusions,
     exited: bool,
     events: VecDeque<Event>,
@@ -160,7 +160,7 @@
 
 impl Reducer {
     /// A router at its start; `unix` is the wall clock's time at `now`.
-    pub fn new(settings: Settings, net: Net, seed: u64, now: Millis, unix: UnixTime) -> Self {
+    pub fn new(settings: Settings, net: NetworkSettings, seed: u64, now: Millis, unix: UnixTime) -> Self {
         let fragile = |class: &ClassSettings| class.repeat != Repeat::Retryable;
         let classes = settings.classes.iter().enumerate();
         Self {
@@ -215,7 +215,7 @@
     }
 
     /// Takes over other limits of the network side.
-    pub fn set_net(&mut self, net: Net) {
+    pub fn set_net(&mut self, net: NetworkSettings) {
         self.net = net;
     }
 
@@ -236,7 +236,7 @@
 
     /// Client connections that may be open.
     pub fn most_clients(&self) -> usize {
-        (self.net.sockets as f64 * CLIENT_SHARE) as usize
+        (self.net.max_descriptors as f64 * CLIENT_SHARE) as usize
     }
 
     /// The longest that a client of any class waits.
@@ -246,7 +246,7 @@
 
     /// Connections to machines that may be open.
     pub fn most_links(&self) -> usize {
-        (self.net.sockets as f64 * MACHINE_SHARE) as usize
+        (self.net.max_descriptors as f64 * MACHINE_SHARE) as usize
     }
 
     /// Machines that are known, those that have left lately among them.
--- a/src/reducer/requests.rs
+++ b/src/reducer/requests.rs
@@ -68,8 +68,10 @@
         if let Some(kill) = self.service.ending().map(|at| at + self.patience()) {
             guard = guard.min(kill);
         }
-        let no_room = self.held_bytes + ask.body.len() > (self.net.memory as f64 * HELD_BODIES) as usize;
-        let most = self.net.max_open.min((self.net.memory as f64 * HELD_STATE / HELD_EACH) as usize);
+        let no_room =
+            self.held_bytes + ask.body.len() > (self.net.memory_bytes as f64 * HELD_BODIES) as usize;
+        let most =
+            self.net.max_open_requests.min((self.net.memory_bytes as f64 * HELD_STATE / HELD_EACH) as usize);
         let reasons = [
             (self.held.len() >= most, Refusal::TooManyOpen),
             (no_room, Refusal::BodiesFull),
@@ -380,7 +382,7 @@
 
     /// Whether an answer of this size must be dropped to stay within the memory limit.
     pub(super) fn sheds(&self, conn: u64, bytes: usize) -> bool {
-        let (all, memory) = ((self.buffered_all + bytes) as f64, self.net.memory as f64);
+        let (all, memory) = ((self.buffered_all + bytes) as f64, self.net.memory_bytes as f64);
         let slow = self.buffered.get(&conn).is_some_and(|own| *own > SLOW_BYTES);
         all > memory * if slow { SHED_SLOW } else { SHED_ALL }
     }
--- a/src/reducer/words.rs
+++ b/src/reducer/words.rs
@@ -177,7 +177,7 @@
     /// An event of the notice board.
     Notice {
         /// The event.
-        notice: Notice,
+        notice: DiscoveryEvent,
         /// The wall clock's time now.
         unix: UnixTime,
     },
--- a/src/resp.rs
+++ b/src/resp.rs
@@ -5,22 +5,22 @@
 /// Parts of one frame, at most.
 const MAX_PARTS: usize = 8;
 /// Bytes of one part, at most: an object has 240,000 at most.
-const MAX_PART: usize = 256 * 1024;
+const MAX_PART_BYTES: usize = 256 * 1024;
 /// Bytes of a line that gives a length.
-const MAX_LINE: usize = 16;
+const MAX_LENGTH_LINE_BYTES: usize = 16;
 
 /// Why bytes can't be read; the connection ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Fault(pub &'static str);
+pub struct ProtocolError(pub &'static str);
 
 /// Turns bytes into frames, wherever they are split.
 #[derive(Debug, Default)]
 pub struct Decoder {
     bytes: Bytes,
     /// Parts of the frame that are still to come.
-    to_come: usize,
+    parts_remaining: usize,
     /// Length of the part that comes now.
-    part: Option<usize>,
+    part_length: Option<usize>,
     parts: Vec<Vec<u8>>,
 }
 
@@ -31,51 +31,55 @@
     }
 
     /// Whether a frame has begun and isn't whole yet.
-    pub fn midway(&self) -> bool {
-        self.to_come > 0 || !self.bytes.rest().is_empty()
+    pub fn has_partial_frame(&self) -> bool {
+        self.parts_remaining > 0 || !self.bytes.rest().is_empty()
     }
 
     /// A line's number, once the line is whole.
-    fn line(&mut self, mark: u8, most: usize) -> Result<Option<usize>, Fault> {
+    fn read_length_line(&mut self, prefix: u8, max: usize) -> Result<Option<usize>, ProtocolError> {
         let rest = self.bytes.rest();
-        let Some(end) = rest.iter().take(MAX_LINE).position(|byte| *byte == b'\n') else {
-            return if rest.len() >= MAX_LINE { Err(Fault("a length is too long")) } else { Ok(None) };
+        let Some(end) = rest.iter().take(MAX_LENGTH_LINE_BYTES).position(|byte| *byte == b'\n') else {
+            return if rest.len() >= MAX_LENGTH_LINE_BYTES {
+                Err(ProtocolError("a length is too long"))
+            } else {
+                Ok(None)
+            };
         };
-        let digits = rest[..end].strip_prefix(&[mark]).and_then(|line| line.strip_suffix(b"\r"));
+        let digits = rest[..end].strip_prefix(&[prefix]).and_then(|line| line.strip_suffix(b"\r"));
         let digits = digits.filter(|digits| !digits.is_empty() && digits.iter().all(u8::is_ascii_digit));
         let number = digits.and_then(|digits| std::str::from_utf8(digits).ok()?.parse::<usize>().ok());
-        let number = number.filter(|number| *number <= most).ok_or(Fault("a length can't be read"))?;
+        let number = number.filter(|number| *number <= max).ok_or(ProtocolError("a length can't be read"))?;
         self.bytes.advance(end + 1);
         Ok(Some(number))
     }
 
     /// The next whole frame.
-    pub fn next_frame(&mut self) -> Result<Option<Vec<Vec<u8>>>, Fault> {
+    pub fn next_frame(&mut self) -> Result<Option<Vec<Vec<u8>>>, ProtocolError> {
         loop {
-            if let Some(length) = self.part {
+            if let Some(length) = self.part_length {
                 let Some((part, rest)) = self.bytes.rest().split_at_checked(length) else {
                     return Ok(None);
                 };
                 let Some(end) = rest.first_chunk::<2>() else { return Ok(None) };
                 if end != b"\r\n" {
-                    return Err(Fault("a part has no end"));
+                    return Err(ProtocolError("a part has no end"));
                 }
                 self.parts.push(part.to_vec());
                 self.bytes.advance(length + 2);
-                self.part = None;
-                self.to_come -= 1;
-                if self.to_come == 0 {
+                self.part_length = None;
+                self.parts_remaining -= 1;
+                if self.parts_remaining == 0 {
                     return Ok(Some(std::mem::take(&mut self.parts)));
                 }
-            } else if self.to_come > 0 {
-                self.part = self.line(b'$', MAX_PART)?;
-                if self.part.is_none() {
+            } else if self.parts_remaining > 0 {
+                self.part_length = self.read_length_line(b'$', MAX_PART_BYTES)?;
+                if self.part_length.is_none() {
                     return Ok(None);
                 }
             } else {
-                match self.line(b'*', MAX_PARTS)? {
-                    Some(0) => return Err(Fault("an empty frame")),
-                    Some(parts) => self.to_come = parts,
+                match self.read_length_line(b'*', MAX_PARTS)? {
+                    Some(0) => return Err(ProtocolError("an empty frame")),
+                    Some(parts) => self.parts_remaining = parts,
                     None => return Ok(None),
                 }
             }
--- a/src/runtime/board.rs
+++ b/src/runtime/board.rs
@@ -10,9 +10,9 @@
 impl Runtime {
     /// A poll is due, or the one that is out has taken too long.
     pub(super) fn poll_board(&mut self) {
-        if self.watch.waiting() {
+        if self.watch.poll_outstanding() {
             self.board_failed("no answer in time");
-            if self.watch.due > self.now() {
+            if self.watch.next_poll_at > self.now() {
                 return;
             }
         }
@@ -47,17 +47,17 @@
                 Err(Io::Blocked) => return,
                 Err(Io::Starved) => return self.starve(Source::Board),
             };
-            let waiting = self.watch.waiting();
+            let waiting = self.watch.poll_outstanding();
             let fed = if waiting { self.watch.feed(now, &self.buffer[..bytes], eof) } else { Ok(None) };
             let stray = match fed {
                 Ok(Some(news)) => {
                     let unix = UnixTime::now();
-                    let inputs = news.notices.into_iter().map(|notice| Input::Notice { notice, unix });
+                    let inputs = news.events.into_iter().map(|notice| Input::Notice { notice, unix });
                     self.inbox.extend(inputs);
-                    for doubt in &news.doubts {
+                    for doubt in &news.problems {
                         say!("an event of the board can't be read, and is taken as narrowly as can be: {doubt}");
                     }
-                    news.stray
+                    news.unexpected_data
                 }
                 Ok(None) => !waiting && bytes > 0,
                 Err(why) => return self.board_failed(&why),
@@ -69,7 +69,7 @@
                 return self.drop_board();
             }
             if eof {
-                if self.watch.waiting() {
+                if self.watch.poll_outstanding() {
                     return self.board_failed("closed");
                 }
                 return self.drop_board();
@@ -99,6 +99,6 @@
         self.reducer.counters.watch_faults += 1;
         say!("the board's poll failed: {why}");
         let now = self.now();
-        self.watch.failed(now);
+        self.watch.poll_failed(now);
     }
 }
--- a/src/runtime/clients.rs
+++ b/src/runtime/clients.rs
@@ -4,7 +4,7 @@
 use super::{Runtime, Source};
 use crate::api::Millis;
 use crate::errno::{self, Verdict};
-use crate::front::{self, Conn, Standing};
+use crate::front::{self, Conn, TimeoutStatus};
 use crate::reasons::{ClientClose, Reason as _, Violation};
 use crate::reducer::{Client, Input};
 use crate::{say, trace_event};
@@ -23,13 +23,15 @@
 const ACCEPT_PAUSE_MS: Millis = 20.0;
 
 /// What a client's connection has brought, for the reducer.
-pub(super) fn heard_input(conn: u64, heard: front::Heard) -> Input {
+pub(super) fn heard_input(conn: u64, heard: front::ClientEvent) -> Input {
     let client = |serial| Client { conn, serial };
     match heard {
-        front::Heard::Asked(serial, ask, age_ms) => Input::Asked { client: client(serial), ask, age_ms },
-        front::Heard::Health(serial) => Input::Health { client: client(serial) },
-        front::Heard::Aborted(serial) => Input::Aborted { client: client(serial) },
-        front::Heard::CutShort(serial) => Input::CutShort { client: client(serial) },
+        front::ClientEvent::Request(serial, ask, age_ms) => {
+            Input::Asked { client: client(serial), ask, age_ms }
+        }
+        front::ClientEvent::HealthCheck(serial) => Input::Health { client: client(serial) },
+        front::ClientEvent::Aborted(serial) => Input::Aborted { client: client(serial) },
+        front::ClientEvent::CutShort(serial) => Input::CutShort { client: client(serial) },
     }
 }
 
@@ -77,7 +79,7 @@
                         say!("an option of a client's connection can't be set: {e}");
                     }
                     let sock = self.watch(Rc::new(Socket::from(stream)), Source::Front(client), true);
-                    let conn = Conn::new(self.now()).patient(self.reducer.longest_ms());
+                    let conn = Conn::new(self.now()).with_client_timeout(self.reducer.longest_ms());
                     self.fronts.insert(client, (sock, conn));
                     trace_event!(self.now(), "client_accepted", client, peer = %peer);
                     self.dirty.insert(Source::Front(client));
@@ -115,12 +117,12 @@
     /// is read before, as it isn't spare then; and it doesn't linger, since its descriptor is what is wanted.
     pub(super) fn shed_front(&mut self) -> bool {
         let now = self.now();
-        let spare = self.fronts.iter().filter_map(|(key, (_, conn))| Some((conn.spare(now)?, *key)));
+        let spare = self.fronts.iter().filter_map(|(key, (_, conn))| Some((conn.shed_priority(now)?, *key)));
         let mut spare: Vec<_> = spare.collect();
         spare.sort_unstable();
         for (_, key) in spare {
             if self.read_unheard(key).is_none()
-                && self.fronts.get(&key).is_none_or(|(_, c)| c.spare(now).is_none())
+                && self.fronts.get(&key).is_none_or(|(_, c)| c.shed_priority(now).is_none())
             {
                 continue;
             }
@@ -135,16 +137,16 @@
     pub(super) fn sweep(&mut self, now: Millis) {
         let (mut over, mut idle) = (Vec::new(), Vec::new());
         for (key, (_, conn)) in &mut self.fronts {
-            let before = conn.holding();
-            match conn.standing(now) {
-                Standing::Good => {}
-                Standing::Over(reason) if conn.at_rest(now) => idle.push((*key, reason)),
-                Standing::Over(reason) => over.push((*key, reason)),
-                Standing::Late(late) => {
+            let before = conn.buffered_bytes();
+            match conn.check_timeouts(now) {
+                TimeoutStatus::Ok => {}
+                TimeoutStatus::Connection(reason) if conn.can_close_cleanly(now) => idle.push((*key, reason)),
+                TimeoutStatus::Connection(reason) => over.push((*key, reason)),
+                TimeoutStatus::Requests(late) => {
                     self.inbox.extend(late.into_iter().map(|heard| heard_input(*key, heard)));
                 }
             }
-            self.coming = self.coming + conn.holding() - before;
+            self.coming = self.coming + conn.buffered_bytes() - before;
         }
         self.reducer.counters.clients_stale += (over.len() + idle.len()) as u64;
         over.into_iter().for_each(|(key, reason)| self.end_front(key, reason));
@@ -155,7 +157,7 @@
     pub(super) fn rest_front(&mut self, key: u64, reason: ClientClose) {
         match self.read_unheard(key) {
             Some(over) => self.end_front(key, over),
-            None if self.fronts.get(&key).is_some_and(|(_, conn)| conn.at_rest(self.now())) => {
+            None if self.fronts.get(&key).is_some_and(|(_, conn)| conn.can_close_cleanly(self.now())) => {
                 self.close_front(key, reason);
             }
             None => drop(self.dirty.insert(Source::Front(key))),
@@ -166,7 +168,7 @@
         if let Some(over) = self.read_front(key).or_else(|| self.write_front(key)) {
             return self.end_front(key, over);
         }
-        let over = self.fronts.get(&key).and_then(|(_, conn)| conn.over());
+        let over = self.fronts.get(&key).and_then(|(_, conn)| conn.close_reason());
         if let Some(reason) = over {
             self.close_front(key, reason);
         }
@@ -184,7 +186,7 @@
         loop {
             let now = self.now();
             let (sock, conn) = self.fronts.get_mut(&key)?;
-            if !sock.readable || !conn.listens() {
+            if !sock.readable || !conn.may_read() {
                 return None;
             }
             if read >= READ_AT_ONCE {
@@ -202,10 +204,10 @@
                 }
             };
             read += bytes;
-            let before = conn.holding();
+            let before = conn.buffered_bytes();
             let (heard, fault) = conn.receive(now, &self.buffer[..bytes]);
-            self.coming = self.coming + conn.holding() - before;
-            let bytes = conn.taken_back();
+            self.coming = self.coming + conn.buffered_bytes() - before;
+            let bytes = conn.take_retracted_bytes();
             if bytes > 0 {
                 self.inbox.push(Input::Flushed { conn: key, bytes });
             }
@@ -224,7 +226,7 @@
 
     /// Requests that are coming in hold too much: the connection that holds most ends.
     pub(super) fn relieve(&mut self) {
-        let most = self.fronts.iter().max_by_key(|(_, (_, conn))| conn.holding());
+        let most = self.fronts.iter().max_by_key(|(_, (_, conn))| conn.buffered_bytes());
         let Some(key) = most.map(|(key, _)| *key) else { return };
         self.reducer.counters.client_faults += 1;
         say!("no memory for what a client sends");
@@ -234,8 +236,8 @@
     /// Nothing more is read from a client: what it has asked whole is answered, and then its connection is closed.
     fn finish_front(&mut self, key: u64, reason: ClientClose) {
         let Some((_, conn)) = self.fronts.get_mut(&key) else { return };
-        self.coming -= conn.holding();
-        conn.finish(reason);
+        self.coming -= conn.buffered_bytes();
+        conn.stop_reading(reason);
         self.inbox.push(Input::Unreadable { conn: key });
         self.dirty.insert(Source::Front(key));
     }
@@ -244,7 +246,7 @@
     pub(super) fn write_front(&mut self, key: u64) -> Option<ClientClose> {
         let (mut written, now) = (0, self.now());
         let (sock, conn) = self.fronts.get_mut(&key)?;
-        let deaf = !conn.listens();
+        let deaf = !conn.may_read();
         let mut starved = false;
         let over = loop {
             let Some(bytes) = conn.output().filter(|_| sock.writable) else { break None };
@@ -255,7 +257,7 @@
                 }
                 Err(Io::Closed | Io::Broken) => break Some(ClientClose::PeerReset),
                 Err(Io::Blocked) => {
-                    conn.blocked(now);
+                    conn.write_blocked(now);
                     break None;
                 }
                 Err(Io::Starved) => {
@@ -265,7 +267,7 @@
             }
         };
         let again = starved;
-        if deaf && conn.listens() && sock.readable {
+        if deaf && conn.may_read() && sock.readable {
             self.dirty.insert(Source::Front(key));
         }
         if again {
@@ -309,7 +311,7 @@
     pub(super) fn forget_front(&mut self, key: u64, reason: ClientClose) -> Option<Sock> {
         let (sock, conn) = self.fronts.remove(&key)?;
         self.reducer.counters.reasons.client_closes.add(reason);
-        let (open, owed, unwritten) = (conn.open(), conn.owed(), conn.unwritten());
+        let (open, owed, unwritten) = (conn.open_requests(), conn.owed_answers(), conn.unwritten_bytes());
         trace_event!(self.now(), "client_closed", client = key, reason = reason.key(), open, owed, unwritten);
         // One that takes nothing of what it is owed can't be answered either.
         let by_client =
@@ -318,7 +320,7 @@
             let why = format_args!("client {key} was closed ({reason}) over {owed} requests");
             self.violated(Violation::ClosedOwing, why);
         }
-        self.coming -= conn.holding();
+        self.coming -= conn.buffered_bytes();
         self.inbox.push(Input::Closed { conn: key });
         Some(sock)
     }
--- a/src/runtime/drains.rs
+++ b/src/runtime/drains.rs
@@ -27,7 +27,9 @@
         if self.reducer.service().intake(now) == Intake::Open {
             return;
         }
-        let ends = |conn: &Conn| conn.at_rest(now) || self.reducer.service().closes_busy(now, conn.latest());
+        let ends = |conn: &Conn| {
+            conn.can_close_cleanly(now) || self.reducer.service().closes_busy(now, conn.latest_request_at())
+        };
         let ending = self.fronts.iter().filter(|(_, (_, conn))| ends(conn));
         let ending: Vec<u64> = ending.map(|(key, _)| *key).collect();
         ending.into_iter().for_each(|key| self.drain_client(key));
@@ -41,17 +43,17 @@
         }
         let now = self.now();
         let Some((_, conn)) = self.fronts.get_mut(&key) else { return };
-        if !self.reducer.service().closes_busy(now, conn.latest()) {
-            return match conn.at_rest(now) {
+        if !self.reducer.service().closes_busy(now, conn.latest_request_at()) {
+            return match conn.can_close_cleanly(now) {
                 true => self.close_front(key, ClientClose::Draining),
                 // Something has just come, or has yet to be read.
-                false if conn.settled() => {}
+                false if conn.all_answers_sent() => {}
                 false => drop(self.dirty.insert(Source::Front(key))),
             };
         }
-        let before = conn.holding();
-        let cut_short = conn.cut_short();
-        self.coming = self.coming + conn.holding() - before;
+        let before = conn.buffered_bytes();
+        let cut_short = conn.reject_incomplete();
+        self.coming = self.coming + conn.buffered_bytes() - before;
         self.inbox.extend(cut_short.into_iter().map(|heard| heard_input(key, heard)));
         self.inbox.push(Input::Closing { conn: key });
         self.work();
@@ -60,7 +62,7 @@
         }
         // A client that reads slowly is waited for; what it asks meanwhile is refused.
         let now = self.now();
-        if self.fronts.get(&key).is_some_and(|(_, conn)| conn.closable(now)) {
+        if self.fronts.get(&key).is_some_and(|(_, conn)| conn.can_close(now)) {
             self.close_front(key, ClientClose::Draining);
         }
     }
@@ -71,8 +73,8 @@
         if self.reducer.service().intake(now) == Intake::Open {
             return None;
         }
-        let settled = self.fronts.values().filter(|(_, conn)| conn.settled());
-        settled.map(|(_, conn)| conn.read_by()).filter(|at| *at > now).reduce(f64::min)
+        let settled = self.fronts.values().filter(|(_, conn)| conn.all_answers_sent());
+        settled.map(|(_, conn)| conn.client_read_by()).filter(|at| *at > now).reduce(f64::min)
     }
 
     /// No more connections are taken: those that the system has let in are accepted, and what has come by now is read.
@@ -142,11 +144,11 @@
     /// Counts the clients that an evacuated router should have let go of by now.
     pub(super) fn audit_drain(&mut self) {
         let now = self.now();
-        let recent = |conn: &Conn| conn.open_after(now - RECENT_MS);
+        let recent = |conn: &Conn| conn.open_requests_after(now - RECENT_MS);
         // The time that a client takes to read doesn't count.
-        let held = self.fronts.iter().filter(|(_, (_, conn))| conn.closable(now) || recent(conn) > 0);
+        let held = self.fronts.iter().filter(|(_, (_, conn))| conn.can_close(now) || recent(conn) > 0);
         let held: Vec<(u64, usize, usize)> =
-            held.map(|(key, (_, conn))| (*key, recent(conn), conn.unwritten())).collect();
+            held.map(|(key, (_, conn))| (*key, recent(conn), conn.unwritten_bytes())).collect();
         for (client, recent, unwritten) in held {
             let why = format_args!("client {client} has {recent} recent requests, {unwritten} bytes unread");
             self.violated(Violation::HeldPastDrain, why);
--- a/src/runtime/machines.rs
+++ b/src/runtime/machines.rs
@@ -3,9 +3,9 @@
 
 use super::socket::{dial, dial_end, Io};
 use super::{Runtime, Source};
-use crate::addresses::{DialKey, Endpoint, Failure};
+use crate::addresses::{DialKey, Endpoint, EndpointFailure};
 use crate::api::{CacheId, LoadReport, Outcome};
-use crate::back::{self, DialEnd, Dialling, Leave, LinkKey, Unsent};
+use crate::back::{self, ConnectionKey, DialAction, DialError, EndpointPause, SendError};
 use crate::reasons::{EndpointClose, Reason as _, Violation};
 use crate::reducer::{AttemptKey, Call, End, Input, Progress};
 use crate::{say, trace_event};
@@ -25,8 +25,8 @@
     pub(super) fn send(&mut self, attempt: AttemptKey, member: &CacheId, call: &Call) {
         match self.links.send(self.now(), attempt, member, call) {
             Ok((key, _)) => self.queued(key),
-            Err(Unsent::NoRoom) => self.inbox.push(Input::Ended { attempt, end: End::NoRoom }),
-            Err(Unsent::NoPath) => {
+            Err(SendError::NoRoom) => self.inbox.push(Input::Ended { attempt, end: End::NoRoom }),
+            Err(SendError::NoAddress) => {
                 say!({ machine = %member, attempt } "no address of {member} is its own now");
                 self.inbox.push(Input::Ended { attempt, end: End::Lost(Progress::NotConnected) });
             }
@@ -35,14 +35,14 @@
 
     /// Something is queued for a machine. It leaves, and is dialled for, once all that the wake has brought is heard:
     /// its client may have left, or its machine.
-    pub(super) fn queued(&mut self, key: LinkKey) {
+    pub(super) fn queued(&mut self, key: ConnectionKey) {
         self.dirty.insert(Source::Link(key));
     }
 
     /// Dials and closes dials as the races ask for it, until none is due.
     pub(super) fn dial_due(&mut self) {
         loop {
-            let todo = self.links.poll(self.now());
+            let todo = self.links.poll_dials(self.now());
             if todo.is_empty() {
                 return;
             }
@@ -50,17 +50,17 @@
         }
     }
 
-    fn dialling(&mut self, todo: Vec<Dialling>) {
+    fn dialling(&mut self, todo: Vec<DialAction>) {
         for one in todo {
             match one {
-                Dialling::Start(key, number, endpoint) => self.start_dial(key, number, &endpoint),
-                Dialling::Close(number) => self.close_dial(number),
-                Dialling::Left(left) => say_left(&left),
+                DialAction::Start(key, number, endpoint) => self.start_dial(key, number, &endpoint),
+                DialAction::Close(number) => self.close_dial(number),
+                DialAction::Paused(left) => say_left(&left),
             }
         }
     }
 
-    fn start_dial(&mut self, key: LinkKey, number: DialKey, endpoint: &Endpoint) {
+    fn start_dial(&mut self, key: ConnectionKey, number: DialKey, endpoint: &Endpoint) {
         self.reducer.counters.dials += 1;
         match dial(endpoint) {
             Ok(stream) => {
@@ -78,14 +78,14 @@
     }
 
     /// A dial has failed: the race goes on, or the connection never comes up.
-    fn dial_over(&mut self, key: LinkKey, number: DialKey, endpoint: &Endpoint, error: &io::Error) {
+    fn dial_over(&mut self, key: ConnectionKey, number: DialKey, endpoint: &Endpoint, error: &io::Error) {
         self.close_dial(number);
         self.reducer.counters.dials_failed += 1;
-        let machine = self.links.member(key).map(CacheId::to_string).unwrap_or_default();
+        let machine = self.links.machine(key).map(CacheId::to_string).unwrap_or_default();
         let end = dial_end(endpoint, error);
         let why = match end {
-            DialEnd::Failed(failure) => failure.to_string(),
-            DialEnd::Unreachable | DialEnd::NoRoom => error.to_string(),
+            DialError::Failed(failure) => failure.to_string(),
+            DialError::Unreachable | DialError::NoRoom => error.to_string(),
         };
         say!({ machine, address = %endpoint, outcome = why } "no connection to {endpoint}: {why}");
         if let Some(left) = self.links.dial_failed(self.now(), key, number, end) {
@@ -113,7 +113,7 @@
             Err(_) => return self.starve(Source::Dial(number)), // That it can't be asked says nothing of it.
         }
         let now = self.now();
-        let Some(todo) = self.links.up(now, key, number) else { return self.close_dial(number) };
+        let Some(todo) = self.links.dial_connected(now, key, number) else { return self.close_dial(number) };
         if let Some((.., dialled)) = self.dials.remove(&number) {
             self.drop_sock(&dialled);
             let sock = self.watch(dialled.stream, Source::Link(key), true);
@@ -127,7 +127,7 @@
     /// What time has brought: races that go on, paths that fell mute, connections that are over.
     pub(super) fn links_due(&mut self) {
         let now = self.now();
-        let (left, moved) = self.links.mute(now);
+        let (left, moved) = self.links.check_unresponsive(now);
         left.iter().for_each(say_left);
         moved.into_iter().for_each(|key| self.queued(key));
         self.dial_due();
@@ -136,7 +136,7 @@
         }
     }
 
-    pub(super) fn serve_link(&mut self, key: LinkKey) {
+    pub(super) fn serve_link(&mut self, key: ConnectionKey) {
         if !self.link_socks.contains_key(&key) {
             return;
         }
@@ -146,13 +146,13 @@
         }
     }
 
-    pub(super) fn read_link(&mut self, key: LinkKey) -> Option<EndpointClose> {
+    pub(super) fn read_link(&mut self, key: ConnectionKey) -> Option<EndpointClose> {
         let mut read = 0;
         loop {
             let now = self.now();
             let sock = self.link_socks.get_mut(&key)?;
             // One that rests may have been closed with no word from the loop yet.
-            let may_have_closed = read == 0 && self.links.rested(key);
+            let may_have_closed = read == 0 && self.links.nothing_in_flight(key);
             if !sock.readable && !may_have_closed {
                 return None;
             }
@@ -175,16 +175,18 @@
             for heard in heard {
                 let counters = &mut self.reducer.counters;
                 self.inbox.push(match heard {
-                    back::Heard::Answer(attempt, answer) => {
+                    back::EndpointEvent::Answer(attempt, answer) => {
                         Input::Ended { attempt, end: End::Answer(answer) }
                     }
-                    back::Heard::Probe(member, outcome, report) => Input::Probed { member, outcome, report },
-                    back::Heard::Greeted => continue,
-                    back::Heard::Late => {
+                    back::EndpointEvent::Probe(member, outcome, report) => {
+                        Input::Probed { member, outcome, report }
+                    }
+                    back::EndpointEvent::Greeted => continue,
+                    back::EndpointEvent::Late => {
                         counters.answers_late += 1;
                         continue;
                     }
-                    back::Heard::Unknown => {
+                    back::EndpointEvent::Unknown => {
                         counters.answers_unknown += 1;
                         say!("an answer with an unknown id");
                         continue;
@@ -202,12 +204,12 @@
         }
     }
 
-    pub(super) fn write_link(&mut self, key: LinkKey) -> Option<EndpointClose> {
+    pub(super) fn write_link(&mut self, key: ConnectionKey) -> Option<EndpointClose> {
         loop {
             if !self.link_socks.get(&key)?.writable {
                 return None;
             }
-            if let Some(attempt) = self.links.unbegun(key) {
+            if let Some(attempt) = self.links.next_unstarted(key) {
                 if !self.may_begin(key, attempt) {
                     continue;
                 }
@@ -232,10 +234,10 @@
     }
 
     /// Asks, as an attempt's first byte would leave, whether it may. What may not is taken back, and its end reported.
-    fn may_begin(&mut self, key: LinkKey, attempt: AttemptKey) -> bool {
+    fn may_begin(&mut self, key: ConnectionKey, attempt: AttemptKey) -> bool {
         match self.reducer.permit(self.now(), attempt) {
             Ok(permit) => {
-                self.links.begin(key, permit.limit_ms);
+                self.links.set_time_limit(key, permit.limit_ms);
                 true
             }
             Err(reason) => {
@@ -250,7 +252,7 @@
         }
     }
 
-    pub(super) fn link_down(&mut self, key: LinkKey, why: EndpointClose) {
+    pub(super) fn link_down(&mut self, key: ConnectionKey, why: EndpointClose) {
         let now = self.now();
         if let Some(sock) = self.link_socks.remove(&key) {
             match why {
@@ -270,7 +272,7 @@
             }
         }
         self.reducer.counters.reasons.endpoint_closes.add(why);
-        let machine = self.links.member(key).map(CacheId::to_string).unwrap_or_default();
+        let machine = self.links.machine(key).map(CacheId::to_string).unwrap_or_default();
         let endpoint = self.links.endpoint(key).cloned();
         for (_, endpoint) in self.links.dials(key).into_iter().filter(|_| why == EndpointClose::NotUp) {
             self.reducer.counters.dials_failed += 1;
@@ -278,10 +280,10 @@
         }
         let blame = match why {
             EndpointClose::PeerClosed | EndpointClose::Broken | EndpointClose::Stalled => {
-                Some(Failure::Broken)
+                Some(EndpointFailure::Broken)
             }
-            EndpointClose::NoGreeting => Some(Failure::Mute),
-            EndpointClose::WrongName => Some(Failure::WrongName),
+            EndpointClose::NoGreeting => Some(EndpointFailure::Unresponsive),
+            EndpointClose::WrongName => Some(EndpointFailure::WrongName),
             EndpointClose::Unreadable
             | EndpointClose::Idle
             | EndpointClose::NotUp
@@ -291,12 +293,12 @@
             | EndpointClose::Panic => None,
         };
         // A close at rest is how idle connections end.
-        let rested = self.links.rested(key) && why == EndpointClose::PeerClosed;
-        let ended = self.links.down(now, key, blame.filter(|_| !rested));
+        let rested = self.links.nothing_in_flight(key) && why == EndpointClose::PeerClosed;
+        let ended = self.links.connection_closed(now, key, blame.filter(|_| !rested));
         let (reason, lost) = (why.key(), ended.lost.len());
         trace_event!(now, "endpoint_closed", link = key, endpoint = machine, reason, lost);
         ended.dials.iter().for_each(|number| self.close_dial(*number));
-        ended.left.iter().for_each(say_left);
+        ended.paused.iter().for_each(say_left);
         if let Some(endpoint) = endpoint.filter(|_| !ended.lost.is_empty()) {
             let attempts = ended.lost.len();
             say!({ machine, address = %endpoint, attempts, outcome = %why }
@@ -311,8 +313,8 @@
     }
 }
 
-fn say_left(left: &Leave) {
-    let Leave { member, endpoint, why, pause_ms } = left;
+fn say_left(left: &EndpointPause) {
+    let EndpointPause { machine: member, endpoint, why, pause_ms } = left;
     say!({ machine = %member, address = %endpoint, outcome = %why }
         "{member} is not reached over {endpoint} for {pause_ms:.0} ms: {why}");
 }
--- a/src/runtime/mod.rs
+++ b/src/runtime/mod.rs
@@ -14,10 +14,10 @@
 
 use crate::addresses::{DialKey, Endpoint};
 use crate::api::Millis;
-use crate::back::{LinkKey, Links};
+use crate::back::{ConnectionKey, ConnectionPool};
 use crate::clock::UnixTime;
 use crate::config::{Config, Sources};
-use crate::discovery::DiscoveryWatch;
+use crate::discovery::DiscoveryClient;
 use crate::errno;
 use crate::front::Conn;
 use crate::operator::Operator;
@@ -64,7 +64,7 @@
     Callers,
     Front(u64),
     /// A machine's connection: read before it is written to, so that one that has closed is known before it is used.
-    Link(LinkKey),
+    Link(ConnectionKey),
     /// A dial that isn't a connection yet.
     Dial(DialKey),
     Listener,
@@ -130,10 +130,10 @@
     lingering: BTreeMap<Source, lingering::Lingering>,
     /// File descriptors that may be held.
     sockets: usize,
-    links: Links,
-    link_socks: BTreeMap<LinkKey, Sock>,
+    links: ConnectionPool,
+    link_socks: BTreeMap<ConnectionKey, Sock>,
     /// Dials that are open, for which connection and where to.
-    dials: BTreeMap<DialKey, (LinkKey, Endpoint, Sock)>,
+    dials: BTreeMap<DialKey, (ConnectionKey, Endpoint, Sock)>,
     /// Bytes of requests that are still coming in, and the most there may be.
     coming: usize,
     most_coming: usize,
@@ -143,7 +143,7 @@
     listens: SocketAddr,
     board_at: SocketAddr,
     board: Option<(Sock, Vec<u8>)>,
-    watch: DiscoveryWatch,
+    watch: DiscoveryClient,
     /// Sockets for which this machine lacked something, and when they are tried again.
     starved: BTreeSet<Source>,
     starved_until: Option<Millis>,
@@ -206,10 +206,10 @@
         operator.fleet.map(|set| fleet::Seat::take(&handle, set, &config.name, config.seed)).transpose()?;
     let net = &config.net;
     let most = reducer.most_links();
-    let links = Links::with_rules(
+    let links = ConnectionPool::with_address_settings(
         net.dial_timeout_ms,
         net.idle_ms,
-        net.streams,
+        net.streams_per_connection,
         most,
         operator.addresses,
         config.seed,
@@ -228,17 +228,17 @@
         fronts: BTreeMap::new(),
         next_front: 0,
         lingering: BTreeMap::new(),
-        sockets: config.net.sockets,
+        sockets: config.net.max_descriptors,
         links,
         link_socks: BTreeMap::new(),
         dials: BTreeMap::new(),
         coming: 0,
-        most_coming: (config.net.memory as f64 * COMING_IN) as usize,
+        most_coming: (config.net.memory_bytes as f64 * COMING_IN) as usize,
         sources,
         listens: config.listen,
-        board_at: config.board,
+        board_at: config.discovery_address,
         board: None,
-        watch: DiscoveryWatch::new(config.rev, config.seed),
+        watch: DiscoveryClient::new(config.known_rev, config.seed),
         starved: BTreeSet::new(),
         starved_until: None,
         reload_at: None,
@@ -256,16 +256,16 @@
         seat,
     };
     let unix = UnixTime::now();
-    state.inbox.extend(config.known.into_iter().map(|notice| Input::Notice { notice, unix }));
+    state.inbox.extend(config.known_events.into_iter().map(|notice| Input::Notice { notice, unix }));
     state.record = operator.record;
     state.load_plugins(operator.plugins);
     state.take_state();
     state.work();
     state.say_ops();
-    for remark in &config.remarks {
+    for remark in &config.warnings {
         say!(always; "settings: {remark}");
     }
-    say!("{} listens on {}, the board is at {}", config.name, listens, config.board);
+    say!("{} listens on {}, the board is at {}", config.name, listens, config.discovery_address);
     while !state.over() {
         let wait = Duration::from_secs_f64((state.wake() - state.now()).clamp(0.0, IDLE_MS) / 1000.0);
         if let Err(e) = events.dispatch(Some(wait), &mut state) {
@@ -318,8 +318,8 @@
     let until = Instant::now() + START_PATIENCE;
     loop {
         match sources.load() {
-            Err(fault) if fault.may_pass && Instant::now() < until => std::thread::sleep(SHORTAGE_PAUSE),
-            read => return read.map_err(|fault| fault.words),
+            Err(fault) if fault.transient && Instant::now() < until => std::thread::sleep(SHORTAGE_PAUSE),
+            read => return read.map_err(|fault| fault.message),
         }
     }
 }
@@ -335,9 +335,9 @@
         if !self.dirty.is_empty() {
             return 0.0;
         }
-        let board = Some(self.watch.due);
+        let board = Some(self.watch.next_poll_at);
         let seat = self.seat.as_ref().and_then(fleet::Seat::due_in).map(|wait| self.now() + wait);
-        let (links, lingering) = (self.links.next_due(), self.lingering_due());
+        let (links, lingering) = (self.links.next_deadline(), self.lingering_due());
         let handover = self.handover.as_ref().map(|handover| self.now() + handover.due_in());
         let intake = self.reducer.service().next_intake(self.now());
         let own = [
@@ -406,7 +406,7 @@
             self.take_state();
             self.inbox.push(Input::ClocksRead { unix: UnixTime::now() });
         }
-        if self.watch.due <= self.now() {
+        if self.watch.next_poll_at <= self.now() {
             self.poll_board();
         }
         if self.reducer.next_due().is_some_and(|at| at <= self.now()) {
@@ -548,11 +548,11 @@
                 Ok((key, _)) => self.queued(key),
                 Err(_) => self.probe_failed(member),
             },
-            Effect::Listed { member, listing: Some(listing) } => self.links.list(&member, listing),
-            Effect::Listed { member, listing: None } => self.links.forget(&member),
+            Effect::Listed { member, listing: Some(listing) } => self.links.update_listing(&member, listing),
+            Effect::Listed { member, listing: None } => self.links.forget_machine(&member),
             Effect::Retire { member } => self.links.retire(&member),
             Effect::Reborn { member, at } => {
-                for key in self.links.older(&member, at) {
+                for key in self.links.dialed_before(&member, at) {
                     self.link_down(key, EndpointClose::Restarted);
                 }
             }
@@ -575,35 +575,35 @@
         self.reload_at = None;
         let (config, operator) = match self.sources.load() {
             Ok(read) => read,
-            Err(fault) if fault.may_pass => {
+            Err(fault) if fault.transient => {
                 self.reload_at = Some(self.now() + RELOAD_AGAIN_MS);
-                return say!("the new config can't be read yet: {}", fault.words);
+                return say!("the new config can't be read yet: {}", fault.message);
             }
             Err(fault) => {
                 self.reducer.counters.reloads_refused += 1;
-                return say!(always; "the new config is not taken, the old one stays: {}", fault.words);
+                return say!(always; "the new config is not taken, the old one stays: {}", fault.message);
             }
         };
         self.reducer.counters.reloads += 1;
-        say!(always; "config read anew; the board is at {}", config.board);
+        say!(always; "config read anew; the board is at {}", config.discovery_address);
         if config.listen != self.listens || config.settings != *self.reducer.settings() {
             say!(always; "a new listen address or new settings take effect at the next start");
         }
-        self.most_coming = (config.net.memory as f64 * COMING_IN) as usize;
-        self.sockets = config.net.sockets;
+        self.most_coming = (config.net.memory_bytes as f64 * COMING_IN) as usize;
+        self.sockets = config.net.max_descriptors;
         self.reducer.set_net(config.net);
-        self.links.set_most(self.reducer.most_links());
-        self.links.set_rules(operator.addresses);
+        self.links.set_max_connections(self.reducer.most_links());
+        self.links.set_address_settings(operator.addresses);
         self.record = operator.record;
         self.load_plugins(operator.plugins);
         if operator.fleet.as_ref() != self.seat.as_ref().map(fleet::Seat::settings) {
             say!(always; "a new (fleet …) takes effect at the next start");
         }
-        if config.board != self.board_at {
+        if config.discovery_address != self.board_at {
             // The old board tells nothing more: what it has begun to say is asked for again, at the new one.
-            self.board_at = config.board;
+            self.board_at = config.discovery_address;
             self.drop_board();
-            self.watch.moved(self.now());
+            self.watch.address_changed(self.now());
         }
     }
 }
--- a/src/runtime/socket.rs
+++ b/src/runtime/socket.rs
@@ -1,8 +1,8 @@
 //! One socket in the loop, and how to make one.
 
 use super::{Runtime, Source};
-use crate::addresses::{Endpoint, Failure};
-use crate::back::DialEnd;
+use crate::addresses::{Endpoint, EndpointFailure};
+use crate::back::DialError;
 use crate::errno::{self, Verdict};
 use calloop::generic::Generic;
 use calloop::{Interest, LoopHandle, Mode, PostAction, Readiness, RegistrationToken};
@@ -92,15 +92,17 @@
 }
 
 /// What it says of a path that its dial has ended with an error, at once or later.
-pub(super) fn dial_end(endpoint: &Endpoint, error: &io::Error) -> DialEnd {
+pub(super) fn dial_end(endpoint: &Endpoint, error: &io::Error) -> DialError {
     match (errno::verdict(error), endpoint) {
-        (Verdict::Shortage | Verdict::Interrupted, _) => DialEnd::NoRoom,
+        (Verdict::Shortage | Verdict::Interrupted, _) => DialError::NoRoom,
         // A Unix socket's connect says so where the peer's queue is full, any other's where ports are short.
-        (Verdict::WouldBlock, Endpoint::Unix(_)) => DialEnd::Failed(Failure::Refused),
-        (Verdict::WouldBlock, Endpoint::Tcp(_)) => DialEnd::NoRoom,
-        (Verdict::Unreachable, _) => DialEnd::Unreachable,
-        (Verdict::Peer, _) if error.kind() == ErrorKind::TimedOut => DialEnd::Failed(Failure::NotUp),
-        (Verdict::Peer, _) => DialEnd::Failed(Failure::Refused),
+        (Verdict::WouldBlock, Endpoint::Unix(_)) => DialError::Failed(EndpointFailure::Refused),
+        (Verdict::WouldBlock, Endpoint::Tcp(_)) => DialError::NoRoom,
+        (Verdict::Unreachable, _) => DialError::Unreachable,
+        (Verdict::Peer, _) if error.kind() == ErrorKind::TimedOut => {
+            DialError::Failed(EndpointFailure::NotUp)
+        }
+        (Verdict::Peer, _) => DialError::Failed(EndpointFailure::Refused),
     }
 }
 
--- a/tests/addresses.rs
+++ b/tests/addresses.rs
@@ -1,8 +1,10 @@
 //! The address book and the race against plain models, by random steps. Seeded: each run takes the same.
 
-use frostturn::addresses::{Book, DialKey, Endpoint, Failure, Listing, Race, Rules, Step, MAX_DIALS};
+use frostturn::addresses::{
+    AddressSettings, AddressTable, DialKey, DialRace, DialStep, Endpoint, EndpointFailure, Listing, MAX_DIALS,
+};
 use frostturn::api::{CacheId, Millis, Phase};
-use frostturn::back::{DialEnd, Dialling, Links};
+use frostturn::back::{ConnectionPool, DialAction, DialError};
 use frostturn::reasons::{AttemptCause, EndpointClose};
 use frostturn::reducer::{Ask, Call, Progress};
 use quickcheck::{Arbitrary, Gen, QuickCheck, Testable};
@@ -32,102 +34,106 @@
 }
 
 /// Machines a and b with three ways each.
-fn rules() -> Rules {
-    let mut rules = Rules::default();
-    rules.machines.insert("a".into(), vec![v6(1), unix("/a")]);
-    rules.machines.insert("b".into(), vec![unix("/b"), v6(2)]);
-    rules
+fn settings() -> AddressSettings {
+    let mut settings = AddressSettings::default();
+    settings.machines.insert("a".into(), vec![v6(1), unix("/a")]);
+    settings.machines.insert("b".into(), vec![unix("/b"), v6(2)]);
+    settings
 }
 
-fn book() -> (Book, CacheId) {
-    let mut book = Book::new(Some(rules()), 5);
-    book.list(&"a".into(), serving(1));
-    book.list(&"b".into(), serving(2));
-    (book, "a".into())
+fn address_table() -> (AddressTable, CacheId) {
+    let mut table = AddressTable::new(Some(settings()), 5);
+    table.update_listing(&"a".into(), serving(1));
+    table.update_listing(&"b".into(), serving(2));
+    (table, "a".into())
 }
 
 #[test]
 fn ways_are_tried_unix_first_then_ipv6_and_one_that_failed_after_those_that_work() {
-    let (mut book, a) = book();
-    assert_eq!(book.candidates(0.0, &a), [unix("/a"), v6(1), v4(1)]);
-    book.failed(0.0, &a, &unix("/a"), Failure::Refused);
-    assert_eq!(book.candidates(0.0, &a), [v6(1), v4(1)]);
+    let (mut table, a) = address_table();
+    assert_eq!(table.candidates(0.0, &a), [unix("/a"), v6(1), v4(1)]);
+    table.record_failure(0.0, &a, &unix("/a"), EndpointFailure::Refused);
+    assert_eq!(table.candidates(0.0, &a), [v6(1), v4(1)]);
     // With none that works, the one whose pause ends first goes first: the only way back is found.
-    book.failed(1000.0, &a, &v6(1), Failure::Mute);
-    book.failed(500.0, &a, &v4(1), Failure::Refused);
-    assert_eq!(book.candidates(1000.0, &a), [unix("/a"), v4(1), v6(1)]);
-    book.answered(1001.0, &a, &v4(1));
-    assert_eq!(book.candidates(1001.0, &a), [v4(1)]);
-    let mut only = Book::new(None, 5);
-    only.list(&a, serving(1));
-    only.failed(0.0, &a, &v4(1), Failure::Refused);
-    assert_eq!((only.candidates(0.0, &a), only.next_due()), (vec![v4(1)], None), "off: as it always was");
+    table.record_failure(1000.0, &a, &v6(1), EndpointFailure::Unresponsive);
+    table.record_failure(500.0, &a, &v4(1), EndpointFailure::Refused);
+    assert_eq!(table.candidates(1000.0, &a), [unix("/a"), v4(1), v6(1)]);
+    table.record_answer(1001.0, &a, &v4(1));
+    assert_eq!(table.candidates(1001.0, &a), [v4(1)]);
+    let mut only = AddressTable::new(None, 5);
+    only.update_listing(&a, serving(1));
+    only.record_failure(0.0, &a, &v4(1), EndpointFailure::Refused);
+    assert_eq!(
+        (only.candidates(0.0, &a), only.next_deadline()),
+        (vec![v4(1)], None),
+        "off: as it always was"
+    );
 }
 
 #[test]
 fn an_address_of_two_belongs_to_the_newer_and_to_nobody_while_one_drains() {
-    let (mut book, a) = book();
+    let (mut table, a) = address_table();
     let (old, new) = (CacheId::from("x"), CacheId::from("y"));
-    book.list(&old, serving(9));
-    assert_eq!(book.owner(&v4(9)), Some(&old));
-    book.list(&new, serving(9));
-    assert_eq!(book.owner(&v4(9)), Some(&new), "the newer claim");
-    assert!(book.candidates(0.0, &old).is_empty() && !book.takes(0.0, &old, &v4(9)));
+    table.update_listing(&old, serving(9));
+    assert_eq!(table.owner(&v4(9)), Some(&old));
+    table.update_listing(&new, serving(9));
+    assert_eq!(table.owner(&v4(9)), Some(&new), "the newer claim");
+    assert!(table.candidates(0.0, &old).is_empty() && !table.accepts_requests(0.0, &old, &v4(9)));
     let leaves = |phase| Listing { phase, ..serving(9) };
-    book.list(&old, leaves(Phase::Draining));
-    assert_eq!((book.owner(&v4(9)), book.candidates(0.0, &new)), (None, vec![]), "who answers isn't known");
-    book.list(&old, Listing { phase: Phase::Deleted, address: None, cold_until: None });
-    assert_eq!(book.owner(&v4(9)), Some(&new), "the draining one has left: settled");
+    table.update_listing(&old, leaves(Phase::Draining));
+    assert_eq!((table.owner(&v4(9)), table.candidates(0.0, &new)), (None, vec![]), "who answers isn't known");
+    table.update_listing(&old, Listing { phase: Phase::Deleted, address: None, cold_until: None });
+    assert_eq!(table.owner(&v4(9)), Some(&new), "the draining one has left: settled");
     // The older one comes back there: its claim is the newer one now.
-    book.list(&old, serving(9));
-    assert_eq!(book.owner(&v4(9)), Some(&old));
-    book.forget(&old);
-    assert_eq!((book.owner(&v4(9)), book.owner(&v4(1))), (Some(&new), Some(&a)));
+    table.update_listing(&old, serving(9));
+    assert_eq!(table.owner(&v4(9)), Some(&old));
+    table.forget_machine(&old);
+    assert_eq!((table.owner(&v4(9)), table.owner(&v4(1))), (Some(&new), Some(&a)));
 }
 
 #[test]
 fn a_reload_takes_ways_away_and_keeps_what_is_known_of_the_others() {
-    let (mut book, a) = book();
-    book.failed(0.0, &a, &v6(1), Failure::Refused);
-    let mut fewer = rules();
+    let (mut table, a) = address_table();
+    table.record_failure(0.0, &a, &v6(1), EndpointFailure::Refused);
+    let mut fewer = settings();
     fewer.machines.insert("a".into(), vec![v6(1)]);
-    book.set_rules(Some(fewer));
-    assert!(!book.lists(&a, &unix("/a")));
-    assert_eq!(book.candidates(1.0, &a), [v4(1)], "the failure is remembered");
-    book.set_rules(Some(rules()));
-    assert_eq!(book.candidates(1.0, &a), [unix("/a"), v4(1)]);
+    table.set_settings(Some(fewer));
+    assert!(!table.contains(&a, &unix("/a")));
+    assert_eq!(table.candidates(1.0, &a), [v4(1)], "the failure is remembered");
+    table.set_settings(Some(settings()));
+    assert_eq!(table.candidates(1.0, &a), [unix("/a"), v4(1)]);
 }
 
 #[test]
 fn a_cold_machine_gets_one_dial_and_no_trials() {
-    let (mut book, a) = book();
-    book.list(&a, Listing { cold_until: Some(5000.0), ..serving(1) });
-    book.failed(0.0, &a, &v6(1), Failure::Refused);
-    assert_eq!((book.most_dials(10.0, &a), book.trials(4000.0)), (1, vec![]));
-    assert_eq!(book.most_dials(5000.0, &a), MAX_DIALS);
-    assert_eq!(book.trials(5000.0), [(a.clone(), v6(1))]);
-    assert_eq!(book.trials(6000.0), [], "one at a time");
+    let (mut table, a) = address_table();
+    table.update_listing(&a, Listing { cold_until: Some(5000.0), ..serving(1) });
+    table.record_failure(0.0, &a, &v6(1), EndpointFailure::Refused);
+    assert_eq!((table.max_dials(10.0, &a), table.start_trials(4000.0)), (1, vec![]));
+    assert_eq!(table.max_dials(5000.0, &a), MAX_DIALS);
+    assert_eq!(table.start_trials(5000.0), [(a.clone(), v6(1))]);
+    assert_eq!(table.start_trials(6000.0), [], "one at a time");
 }
 
 #[test]
 fn somebody_elses_answer_bars_a_way_even_if_it_is_the_last() {
-    let (mut book, a) = book();
-    book.set_rules(Some(Rules { machines: BTreeMap::new(), ..rules() }));
-    let until = book.failed(0.0, &a, &v4(1), Failure::WrongName).expect("new");
-    assert!(book.candidates(until - 1.0, &a).is_empty());
-    assert_eq!(book.candidates(until, &a), [v4(1)]);
+    let (mut table, a) = address_table();
+    table.set_settings(Some(AddressSettings { machines: BTreeMap::new(), ..settings() }));
+    let until = table.record_failure(0.0, &a, &v4(1), EndpointFailure::WrongName).expect("new");
+    assert!(table.candidates(until - 1.0, &a).is_empty());
+    assert_eq!(table.candidates(until, &a), [v4(1)]);
 }
 
 #[test]
 fn pauses_grow_are_bounded_and_end() {
     fn property(seed: u64, gaps: Vec<u16>) -> bool {
-        let (mut book, a) = (Book::new(Some(rules()), seed), CacheId::from("a"));
-        book.list(&a, serving(1));
-        let (first, most) = book.rules().expect("given").pause;
+        let (mut table, a) = (AddressTable::new(Some(settings()), seed), CacheId::from("a"));
+        table.update_listing(&a, serving(1));
+        let (first, most) = table.settings().expect("given").pause_ms;
         let (mut now, mut failures, mut until) = (0.0, 0, 0.0);
         for gap in gaps {
             now += f64::from(gap);
-            match book.failed(now, &a, &v6(1), Failure::Refused) {
+            match table.record_failure(now, &a, &v6(1), EndpointFailure::Refused) {
                 None => assert!(now < until, "connections that fall together count once"),
                 Some(at) => {
                     assert!(now >= until);
@@ -138,9 +144,9 @@
             }
             // It is tried again once, as soon as its pause is over, and never before.
             if until.is_finite() && failures > 0 {
-                assert!(book.trials(until - 0.001).is_empty());
-                assert_eq!(book.trials(until), [(a.clone(), v6(1))]);
-                book.untried(now, &a, &v6(1));
+                assert!(table.start_trials(until - 0.001).is_empty());
+                assert_eq!(table.start_trials(until), [(a.clone(), v6(1))]);
+                table.end_trial(now, &a, &v6(1));
                 now = until;
             }
         }
@@ -174,7 +180,7 @@
     fn property(ways: u8, free: u8, delay: u8, turns: Vec<Turn>) -> bool {
         let all: Vec<Endpoint> = (0..u16::from(ways % 6)).map(v4).collect();
         let (most, delay) = (usize::from(free % 3), f64::from(delay) + 1.0);
-        let mut race = Race::new(0.0, all.clone(), delay, 400.0);
+        let mut race = DialRace::new(0.0, all.clone(), delay, 400.0);
         let (mut now, mut next) = (0.0, 0);
         // The model: dials that are open, with their start.
         let mut open: BTreeMap<DialKey, Millis> = BTreeMap::new();
@@ -184,11 +190,11 @@
             let was_alone = open.is_empty();
             for step in race.poll(now, free, &mut next) {
                 match step {
-                    Step::Start(key, endpoint) => {
+                    DialStep::Start(key, endpoint) => {
                         assert!(all.contains(&endpoint) && open.insert(key, now).is_none());
                         started += 1;
                     }
-                    Step::Drop(key, _) => {
+                    DialStep::Drop(key, _) => {
                         let since = open.remove(&key).expect("it was open");
                         assert!(now - since >= delay || !was_alone, "only one that has had its time");
                     }
@@ -196,7 +202,7 @@
             }
             assert!(open.len() <= most, "the bound of dials");
             assert_eq!(
-                race.open().iter().map(|d| d.key).collect::<BTreeSet<_>>(),
+                race.open_dials().iter().map(|d| d.key).collect::<BTreeSet<_>>(),
                 open.keys().copied().collect()
             );
             let pick = |which: usize| open.keys().nth(which % open.len().max(1)).copied();
@@ -204,16 +210,16 @@
                 Turn::Wait(ms) => now += f64::from(ms) / 4.0,
                 Turn::Fail(which) => {
                     let Some(key) = pick(which) else { continue };
-                    assert!(race.failed(now, key).is_some() && race.failed(now, key).is_none());
+                    assert!(race.dial_failed(now, key).is_some() && race.dial_failed(now, key).is_none());
                     open.remove(&key);
                 }
                 Turn::Up(which) => {
                     let Some(key) = pick(which) else { continue };
-                    race = match race.won(now, DialKey::MAX) {
+                    race = match race.win(now, DialKey::MAX) {
                         Ok(_) => panic!("it isn't of this race"),
                         Err(race) => race,
                     };
-                    let won = race.won(now, key).expect("it is open");
+                    let won = race.win(now, key).expect("it is open");
                     let losers: BTreeSet<DialKey> = won.losers.iter().map(|(key, ..)| *key).collect();
                     open.remove(&key);
                     // All others are closed: nothing was ever written on them, as frames wait for the winner.
@@ -230,12 +236,12 @@
                     for key in race.restrict(&kept) {
                         assert!(open.remove(&key).is_some());
                     }
-                    assert!(race.open().iter().all(|dial| kept.contains(&dial.endpoint)));
+                    assert!(race.open_dials().iter().all(|dial| kept.contains(&dial.endpoint)));
                 }
             }
-            assert!(race.due() <= 400.0);
+            assert!(race.deadline() <= 400.0);
         }
-        assert!(started <= 400 && race.over(400.0), "the one whole bound");
+        assert!(started <= 400 && race.is_over(400.0), "the one whole bound");
         race.poll(400.0, 9, &mut next).is_empty()
     }
     check(property as fn(u8, u8, u8, Vec<Turn>) -> bool);
@@ -244,13 +250,13 @@
 #[test]
 fn the_next_way_is_dialled_at_once_on_a_refusal_and_after_the_delay_otherwise() {
     let mut next = 0;
-    let mut race = Race::new(0.0, vec![unix("/a"), v6(1), v4(1)], 80.0, 400.0);
-    assert_eq!(race.poll(0.0, 2, &mut next), [Step::Start(1, unix("/a"))]);
-    assert_eq!((race.poll(79.0, 1, &mut next), race.due()), (vec![], 80.0));
-    assert_eq!(race.failed(5.0, 1), Some(unix("/a")));
-    assert_eq!(race.poll(5.0, 2, &mut next), [Step::Start(2, v6(1))]);
-    assert_eq!(race.poll(85.0, 1, &mut next), [Step::Start(3, v4(1))]);
-    let won = race.won(86.0, 3).expect("it is open");
+    let mut race = DialRace::new(0.0, vec![unix("/a"), v6(1), v4(1)], 80.0, 400.0);
+    assert_eq!(race.poll(0.0, 2, &mut next), [DialStep::Start(1, unix("/a"))]);
+    assert_eq!((race.poll(79.0, 1, &mut next), race.deadline()), (vec![], 80.0));
+    assert_eq!(race.dial_failed(5.0, 1), Some(unix("/a")));
+    assert_eq!(race.poll(5.0, 2, &mut next), [DialStep::Start(2, v6(1))]);
+    assert_eq!(race.poll(85.0, 1, &mut next), [DialStep::Start(3, v4(1))]);
+    let won = race.win(86.0, 3).expect("it is open");
     assert_eq!((won.endpoint, won.losers), (v4(1), vec![(2, v6(1), true)]), "the earlier one was overtaken");
 }
 
@@ -271,18 +277,18 @@
     Call { ask: ask.into(), fetch, alone, leave_by: f64::INFINITY, cause: AttemptCause::First }
 }
 
-fn links() -> (Links, CacheId) {
-    let mut links = Links::with_rules(400.0, 30_000.0, 32, 40, Some(rules()), 3);
-    links.list(&"a".into(), serving(1));
-    (links, "a".into())
+fn connection_pool() -> (ConnectionPool, CacheId) {
+    let mut pool = ConnectionPool::with_address_settings(400.0, 30_000.0, 32, 40, Some(settings()), 3);
+    pool.update_listing(&"a".into(), serving(1));
+    (pool, "a".into())
 }
 
 /// Dials that are to be started now.
-fn started(links: &mut Links, now: Millis) -> Vec<(u64, DialKey, Endpoint)> {
-    let starts = links.poll(now).into_iter();
+fn started(pool: &mut ConnectionPool, now: Millis) -> Vec<(u64, DialKey, Endpoint)> {
+    let starts = pool.poll_dials(now).into_iter();
     starts
         .filter_map(|one| match one {
-            Dialling::Start(key, dial, endpoint) => Some((key, dial, endpoint)),
+            DialAction::Start(key, dial, endpoint) => Some((key, dial, endpoint)),
             _ => None,
         })
         .collect()
@@ -290,88 +296,89 @@
 
 #[test]
 fn a_swap_that_was_written_never_moves_and_one_that_was_not_does() {
-    let (mut links, a) = links();
-    let (first, _) = links.send(0.0, 1, &a, &call("one", true)).expect("room");
-    let dials = started(&mut links, 0.0);
+    let (mut pool, a) = connection_pool();
+    let (first, _) = pool.send(0.0, 1, &a, &call("one", true)).expect("room");
+    let dials = started(&mut pool, 0.0);
     assert_eq!(dials.len(), 1);
-    links.up(1.0, first, dials[0].1).expect("it is waited for");
-    let bytes = links.output(first).map_or(0, <[u8]>::len);
-    links.wrote(1.0, first, bytes);
+    pool.dial_connected(1.0, first, dials[0].1).expect("it is waited for");
+    let bytes = pool.output(first).map_or(0, <[u8]>::len);
+    pool.wrote(1.0, first, bytes);
     // It falls mute over the Unix socket. What was written stays; what comes later goes another way.
-    let (left, moved) = links.mute(600.0);
+    let (left, moved) = pool.check_unresponsive(600.0);
     assert_eq!((left.len(), left[0].endpoint.clone(), moved.len()), (1, unix("/a"), 0));
-    let (second, new) = links.send(601.0, 2, &a, &call("two", true)).expect("room");
+    let (second, new) = pool.send(601.0, 2, &a, &call("two", true)).expect("room");
     assert!(new && second != first);
-    assert_eq!(started(&mut links, 601.0)[0].2, v6(1));
-    let ended = links.down(700.0, first, Some(Failure::Broken));
+    assert_eq!(started(&mut pool, 601.0)[0].2, v6(1));
+    let ended = pool.connection_closed(700.0, first, Some(EndpointFailure::Broken));
     assert_eq!((ended.lost, ended.moved.len()), (vec![(1, Progress::WrittenWhole)], 0), "it may have run");
 }
 
 #[test]
 fn a_drain_calls_dials_off_on_all_paths() {
-    let (mut links, a) = links();
-    let (key, _) = links.send(0.0, 1, &a, &call("one", false)).expect("room");
-    assert_eq!(started(&mut links, 0.0).len(), 1);
-    assert_eq!(started(&mut links, 90.0).len(), 1, "two are on their way");
-    links.list(&a, Listing { phase: Phase::Draining, ..serving(1) });
-    links.retire(&a);
-    links.stop(91.0, 1);
-    let closed = links.poll(91.0).into_iter().filter(|one| matches!(one, Dialling::Close(_))).count();
-    assert_eq!((closed, links.dials(key).len()), (2, 0));
-    assert_eq!(links.expired(91.0), [(key, EndpointClose::NotWanted)]);
-    assert!(links.send(92.0, 2, &a, &call("two", false)).is_err(), "there is no way to it");
+    let (mut pool, a) = connection_pool();
+    let (key, _) = pool.send(0.0, 1, &a, &call("one", false)).expect("room");
+    assert_eq!(started(&mut pool, 0.0).len(), 1);
+    assert_eq!(started(&mut pool, 90.0).len(), 1, "two are on their way");
+    pool.update_listing(&a, Listing { phase: Phase::Draining, ..serving(1) });
+    pool.retire(&a);
+    pool.stop(91.0, 1);
+    let closed = pool.poll_dials(91.0).into_iter().filter(|one| matches!(one, DialAction::Close(_))).count();
+    assert_eq!((closed, pool.dials(key).len()), (2, 0));
+    assert_eq!(pool.expired(91.0), [(key, EndpointClose::NotWanted)]);
+    assert!(pool.send(92.0, 2, &a, &call("two", false)).is_err(), "there is no way to it");
 }
 
 #[test]
 fn a_path_that_came_back_carries_one_request_until_that_is_answered() {
-    let (mut links, a) = links();
-    let (key, _) = links.send(0.0, 1, &a, &call("one", false)).expect("room");
-    let (_, dial, _) = started(&mut links, 0.0).remove(0);
-    let left =
-        links.dial_failed(0.0, key, dial, DialEnd::Failed(Failure::Refused)).expect("it is left alone");
-    let dials = started(&mut links, 0.0);
-    links.up(1.0, key, dials[0].1).expect("it is waited for");
+    let (mut pool, a) = connection_pool();
+    let (key, _) = pool.send(0.0, 1, &a, &call("one", false)).expect("room");
+    let (_, dial, _) = started(&mut pool, 0.0).remove(0);
+    let left = pool
+        .dial_failed(0.0, key, dial, DialError::Failed(EndpointFailure::Refused))
+        .expect("it is left alone");
+    let dials = started(&mut pool, 0.0);
+    pool.dial_connected(1.0, key, dials[0].1).expect("it is waited for");
     // The trial begins when the pause is over, with no request on it, and greets.
     let at = left.pause_ms;
-    assert!(started(&mut links, at - 1.0).is_empty());
-    let (trial, dial, endpoint) = started(&mut links, at).remove(0);
+    assert!(started(&mut pool, at - 1.0).is_empty());
+    let (trial, dial, endpoint) = started(&mut pool, at).remove(0);
     assert!(endpoint == unix("/a") && trial != key);
-    links.up(at, trial, dial).expect("it is waited for");
-    let greeting = links.output(trial).expect("a greeting").to_vec();
+    pool.dial_connected(at, trial, dial).expect("it is waited for");
+    let greeting = pool.output(trial).expect("a greeting").to_vec();
     assert!(greeting.starts_with(b"*2\r\n$4\r\nHELO\r\n"));
-    links.wrote(at, trial, greeting.len());
-    assert_ne!(links.send(at, 2, &a, &call("two", false)).map(|(key, _)| key), Ok(trial), "not yet");
+    pool.wrote(at, trial, greeting.len());
+    assert_ne!(pool.send(at, 2, &a, &call("two", false)).map(|(key, _)| key), Ok(trial), "not yet");
     let tag = String::from_utf8_lossy(&greeting).lines().nth(4).unwrap_or_default().to_owned();
     let fit = frostturn::resp::frame(&[tag.as_bytes(), b"FIT", b"-"]);
-    assert_eq!(links.receive(at, trial, &fit), (vec![], None));
-    assert_ne!(links.send(at, 3, &a, &call("swap", true)).map(|(key, _)| key), Ok(trial), "no swap");
-    assert_eq!(links.send(at, 4, &a, &call("four", false)), Ok((trial, false)));
-    assert_ne!(links.send(at, 5, &a, &call("five", false)).map(|(key, _)| key), Ok(trial), "one by one");
-    let bytes = links.output(trial).map_or(0, <[u8]>::len);
-    links.wrote(at, trial, bytes);
+    assert_eq!(pool.receive(at, trial, &fit), (vec![], None));
+    assert_ne!(pool.send(at, 3, &a, &call("swap", true)).map(|(key, _)| key), Ok(trial), "no swap");
+    assert_eq!(pool.send(at, 4, &a, &call("four", false)), Ok((trial, false)));
+    assert_ne!(pool.send(at, 5, &a, &call("five", false)).map(|(key, _)| key), Ok(trial), "one by one");
+    let bytes = pool.output(trial).map_or(0, <[u8]>::len);
+    pool.wrote(at, trial, bytes);
     let done = frostturn::resp::frame(&[b"four", b"LACK", b"-", b""]);
-    assert_eq!(links.receive(at + 1.0, trial, &done).0.len(), 1);
-    assert_eq!(links.book().counts(), (1, 0), "it works again");
+    assert_eq!(pool.receive(at + 1.0, trial, &done).0.len(), 1);
+    assert_eq!(pool.addresses().counts(), (1, 0), "it works again");
 }
 
 #[test]
 fn a_connection_on_which_another_machine_answers_carries_nothing() {
-    let named = Rules { names: true, ..rules() };
-    let mut links = Links::with_rules(400.0, 30_000.0, 32, 40, Some(named), 3);
+    let named = AddressSettings { verify_names: true, ..settings() };
+    let mut pool = ConnectionPool::with_address_settings(400.0, 30_000.0, 32, 40, Some(named), 3);
     let a = CacheId::from("a");
-    links.list(&a, serving(1));
-    let (key, _) = links.send(0.0, 1, &a, &call("one", true)).expect("room");
-    let (_, dial, _) = started(&mut links, 0.0).remove(0);
-    links.up(0.0, key, dial).expect("it is waited for");
-    let greeting = links.output(key).expect("a greeting").to_vec();
-    links.wrote(0.0, key, greeting.len());
-    assert_eq!(links.output(key), None, "nothing before it is known who answers");
+    pool.update_listing(&a, serving(1));
+    let (key, _) = pool.send(0.0, 1, &a, &call("one", true)).expect("room");
+    let (_, dial, _) = started(&mut pool, 0.0).remove(0);
+    pool.dial_connected(0.0, key, dial).expect("it is waited for");
+    let greeting = pool.output(key).expect("a greeting").to_vec();
+    pool.wrote(0.0, key, greeting.len());
+    assert_eq!(pool.output(key), None, "nothing before it is known who answers");
     let tag = String::from_utf8_lossy(&greeting).lines().nth(4).unwrap_or_default().to_owned();
     let fit = frostturn::resp::frame(&[tag.as_bytes(), b"FIT", b"name=b"]);
-    assert_eq!(links.receive(1.0, key, &fit).1, Some(frostturn::back::WRONG_NAME));
-    let ended = links.down(1.0, key, Some(Failure::WrongName));
+    assert_eq!(pool.receive(1.0, key, &fit).1, Some(frostturn::back::WRONG_NAME));
+    let ended = pool.connection_closed(1.0, key, Some(EndpointFailure::WrongName));
     assert!(ended.lost.is_empty() && ended.moved.len() == 1, "it had not begun to leave");
-    assert_eq!(started(&mut links, 1.0)[0].2, v6(1));
+    assert_eq!(started(&mut pool, 1.0)[0].2, v6(1));
 }
 
 /// Steps on all connections to two machines.
@@ -406,10 +413,10 @@
 #[test]
 fn no_byte_is_on_a_loser_every_dial_ends_and_what_was_written_stays() {
     fn property(moves: Vec<Move>) -> bool {
-        let mut links = Links::with_rules(400.0, 30_000.0, 32, 40, Some(rules()), 3);
+        let mut pool = ConnectionPool::with_address_settings(400.0, 30_000.0, 32, 40, Some(settings()), 3);
         let names = [CacheId::from("a"), CacheId::from("b")];
         for (port, name) in (1..).zip(&names) {
-            links.list(name, serving(port));
+            pool.update_listing(name, serving(port));
         }
         let (mut now, mut next) = (0.0, 0);
         // The model: dials that are open, connections that are up, what was written of which attempt on which.
@@ -418,15 +425,15 @@
         let mut moves = moves.into_iter();
         loop {
             let one = moves.next();
-            for todo in links.poll(now) {
+            for todo in pool.poll_dials(now) {
                 match todo {
-                    Dialling::Start(key, dial, _) => assert!(dials.insert(dial, key).is_none()),
-                    Dialling::Close(dial) => assert!(dials.remove(&dial).is_some()),
-                    Dialling::Left(_) => {}
+                    DialAction::Start(key, dial, _) => assert!(dials.insert(dial, key).is_none()),
+                    DialAction::Close(dial) => assert!(dials.remove(&dial).is_some()),
+                    DialAction::Paused(_) => {}
                 }
             }
             for name in &names {
-                let own = dials.values().filter(|key| links.member(**key) == Some(name)).count();
+                let own = dials.values().filter(|key| pool.machine(**key) == Some(name)).count();
                 assert!(own <= MAX_DIALS, "{own} dials at once");
             }
             let nth = |which: usize| dials.iter().nth(which % dials.len().max(1)).map(|(d, k)| (*d, *k));
@@ -437,23 +444,23 @@
                 Some(Move::Send { to_b, alone }) => {
                     next += 1;
                     let sent =
-                        links.send(now, next, &names[usize::from(to_b)], &call(&format!("i{next}"), alone));
+                        pool.send(now, next, &names[usize::from(to_b)], &call(&format!("i{next}"), alone));
                     if let Ok((key, _)) = sent {
-                        assert!(links.output(key).is_none() || up.contains(&key));
+                        assert!(pool.output(key).is_none() || up.contains(&key));
                     }
                 }
                 Some(Move::Refused(which)) => {
                     if let Some((dial, key)) = nth(which) {
                         dials.remove(&dial);
-                        links.dial_failed(now, key, dial, DialEnd::Failed(Failure::Refused));
+                        pool.dial_failed(now, key, dial, DialError::Failed(EndpointFailure::Refused));
                     }
                 }
                 Some(Move::Up(which)) => {
                     let Some((dial, key)) = nth(which) else { continue };
-                    assert!(links.output(key).is_none(), "nothing leaves before there is a winner");
+                    assert!(pool.output(key).is_none(), "nothing leaves before there is a winner");
                     dials.remove(&dial);
-                    for todo in links.up(now, key, dial).expect("it was open") {
-                        if let Dialling::Close(loser) = todo {
+                    for todo in pool.dial_connected(now, key, dial).expect("it was open") {
+                        if let DialAction::Close(loser) = todo {
                             assert_eq!(dials.remove(&loser), Some(key), "losers are closed");
                         }
                     }
@@ -461,8 +468,8 @@
                 }
                 Some(Move::Write(which)) => {
                     let Some(key) = one_up(which) else { continue };
-                    let Some(bytes) = links.output(key).map(<[u8]>::len) else { continue };
-                    if let Some((attempt, _)) = links.wrote(now, key, bytes) {
+                    let Some(bytes) = pool.output(key).map(<[u8]>::len) else { continue };
+                    if let Some((attempt, _)) = pool.wrote(now, key, bytes) {
                         assert_eq!(written.insert(attempt, key), None, "each is written once");
                     }
                 }
@@ -473,25 +480,27 @@
                     };
                     let id = format!("i{attempt}");
                     let done = frostturn::resp::frame(&[id.as_bytes(), b"LACK", b"-", b""]);
-                    if links.carrier(attempt) == Some(key) {
-                        links.receive(now, key, &done);
+                    if pool.connection_of(attempt) == Some(key) {
+                        pool.receive(now, key, &done);
                     }
                     written.remove(&attempt);
                 }
-                Some(Move::Down(which)) => ended = one_up(which).map(|key| (key, Some(Failure::Broken))),
+                Some(Move::Down(which)) => {
+                    ended = one_up(which).map(|key| (key, Some(EndpointFailure::Broken)))
+                }
                 Some(Move::Drain(drains)) => {
                     let phase = if drains { Phase::Draining } else { Phase::Serving };
-                    links.list(&names[0], Listing { phase, ..serving(1) });
+                    pool.update_listing(&names[0], Listing { phase, ..serving(1) });
                     if drains {
-                        links.retire(&names[0]);
+                        pool.retire(&names[0]);
                     }
                 }
                 Some(Move::Wait(ms)) => now += f64::from(ms),
                 None => now += 60_000.0,
             }
-            let over = links.expired(now).into_iter().map(|(key, _)| (key, None));
+            let over = pool.expired(now).into_iter().map(|(key, _)| (key, None));
             for (key, blame) in ended.into_iter().chain(over).collect::<Vec<_>>() {
-                let down = links.down(now, key, blame);
+                let down = pool.connection_closed(now, key, blame);
                 up.remove(&key);
                 for dial in down.dials {
                     assert_eq!(dials.remove(&dial), Some(key));
@@ -502,8 +511,8 @@
                 }
                 assert!(written.values().all(|on| *on != key), "what was written moved by itself");
             }
-            links.mute(now);
-            assert!(written.iter().all(|(attempt, key)| links.carrier(*attempt) == Some(*key)));
+            pool.check_unresponsive(now);
+            assert!(written.iter().all(|(attempt, key)| pool.connection_of(*attempt) == Some(*key)));
             if one.is_none() {
                 // A minute on, every dial has ended.
                 return dials.is_empty();
--- a/tests/clock_steps.rs
+++ b/tests/clock_steps.rs
@@ -5,7 +5,7 @@
 use common::{net, settings};
 use frostturn::api::*;
 use frostturn::clock::UnixTime;
-use frostturn::discovery::{Listed, Notice, Word};
+use frostturn::discovery::{Announcement, DiscoveryEvent, ListedMachine};
 use frostturn::reducer::{Ask, Client, Effect, Input, Reducer};
 
 /// The Unix time at 0.
@@ -29,7 +29,7 @@
         let mut router = Self { reducer, step_ms, step_at, rev: 0 };
         let all = [("e1", "edge"), ("e2", "edge"), ("o1", "origin")];
         let machines = all.map(|(name, kind)| common::listed(name, kind, Phase::Serving)).into();
-        router.hears(0.0, Word::Pool { whole: true, machines });
+        router.hears(0.0, Announcement::Pool { snapshot: true, machines });
         router
     }
 
@@ -39,9 +39,9 @@
     }
 
     /// The board tells something now.
-    fn hears(&mut self, now: Millis, word: Word) -> Vec<Effect> {
+    fn hears(&mut self, now: Millis, word: Announcement) -> Vec<Effect> {
         self.rev += 1;
-        let notice = Notice { rev: self.rev, word: Some(word) };
+        let notice = DiscoveryEvent { rev: self.rev, announcement: Some(word) };
         let unix = self.unix(now);
         self.reducer.step(now, Input::Notice { notice, unix })
     }
@@ -78,7 +78,7 @@
     for (step_ms, step_at) in steps_around(heard) {
         let mut router = Router::new(step_ms, step_at);
         let made_unix_ms = router.unix(heard - UNDER_WAY_MS);
-        router.hears(heard, Word::Purge { object: Some("song".into()), group: 0, made_unix_ms });
+        router.hears(heard, Announcement::Purge { object: Some("song".into()), group: 0, made_unix_ms });
         for later in [10.0, 1000.0, 4000.0] {
             let oldest = router.oldest(heard + later).unwrap_or(f64::INFINITY);
             let age = UNDER_WAY_MS + later;
@@ -95,19 +95,20 @@
         let mut router = Router::new(step_ms, step_at);
         let started = heard - UNDER_WAY_MS;
         let since_unix_ms = Some(router.unix(started));
-        let entry = || Listed { since_unix_ms, ..common::listed("e1", "edge", Phase::Serving) };
+        let entry = || ListedMachine { since_unix_ms, ..common::listed("e1", "edge", Phase::Serving) };
         let told = |effects: &[Effect]| {
             effects.iter().find_map(|effect| match effect {
                 Effect::Listed { listing: Some(listing), .. } => listing.cold_until,
                 _ => None,
             })
         };
-        let effects = router.hears(heard, Word::Pool { whole: false, machines: vec![entry()] });
+        let effects = router.hears(heard, Announcement::Pool { snapshot: false, machines: vec![entry()] });
         let until = told(&effects).expect("it is cold");
         let (least, most) = (started + cold_ms - 1.0, heard + cold_ms + 1.0);
         assert!((least..=most).contains(&until), "a step of {step_ms} at {step_at}: until {until}");
         // Told again, it is the same start, and nothing that was connected since is dead.
-        let effects = router.hears(heard + 1000.0, Word::Pool { whole: false, machines: vec![entry()] });
+        let effects =
+            router.hears(heard + 1000.0, Announcement::Pool { snapshot: false, machines: vec![entry()] });
         assert_eq!(told(&effects), Some(until), "a step of {step_ms} at {step_at}");
         assert!(!effects.iter().any(|effect| matches!(effect, Effect::Reborn { .. })));
     }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -3,8 +3,8 @@
 #![allow(dead_code)] // Each test file uses its part.
 
 use frostturn::api::*;
-use frostturn::config::Net;
-use frostturn::discovery::Listed;
+use frostturn::config::NetworkSettings;
+use frostturn::discovery::ListedMachine;
 use frostturn::Router;
 
 /// Clocks start anywhere.
@@ -224,8 +224,8 @@
 }
 
 /// A machine as the board lists it.
-pub fn listed(name: &str, kind: &str, phase: Phase) -> Listed {
-    Listed {
+pub fn listed(name: &str, kind: &str, phase: Phase) -> ListedMachine {
+    ListedMachine {
         name: name.into(),
         address: ([127, 0, 0, 1], 7000).into(),
         zone: "east".into(),
@@ -238,14 +238,14 @@
 }
 
 /// The network side's limits, wide enough for all that tests do.
-pub fn net() -> Net {
-    Net {
+pub fn net() -> NetworkSettings {
+    NetworkSettings {
         dial_timeout_ms: 400.0,
         idle_ms: 3e4,
-        streams: 32,
-        max_open: 4096,
-        memory: 1 << 28,
-        sockets: 1024,
+        streams_per_connection: 32,
+        max_open_requests: 4096,
+        memory_bytes: 1 << 28,
+        max_descriptors: 1024,
         flow_bytes_per_s: None,
     }
 }
--- a/tests/connections.rs
+++ b/tests/connections.rs
@@ -2,9 +2,9 @@
 
 use frostturn::addresses::Listing;
 use frostturn::api::*;
-use frostturn::back::{Heard as Back, Links, Unsent};
-use frostturn::fastcgi::{self, kind, Decoder, Fault, Record};
-use frostturn::front::{Conn, Heard, Standing};
+use frostturn::back::{ConnectionPool, EndpointEvent, SendError};
+use frostturn::fastcgi::{self, kind, Decoder, ProtocolError, Record};
+use frostturn::front::{ClientEvent, Conn, TimeoutStatus};
 use frostturn::reasons::{AttemptCause, ClientClose, EndpointClose, Refusal};
 use frostturn::reducer::{Ask, Call, Failure, Progress, Reply};
 use frostturn::resp;
@@ -13,7 +13,9 @@
 use std::net::SocketAddr;
 
 /// What a connection has brought, where all of it can be read.
-fn whole((heard, fault): (Vec<Heard>, Option<Fault>)) -> Result<Vec<Heard>, Fault> {
+fn whole(
+    (heard, fault): (Vec<ClientEvent>, Option<ProtocolError>),
+) -> Result<Vec<ClientEvent>, ProtocolError> {
     fault.map_or(Ok(heard), Err)
 }
 
@@ -23,7 +25,7 @@
 
 /// A client's steps on one connection, and the router's.
 #[derive(Clone, Debug)]
-enum Front {
+enum ClientStep {
     Ask { request: u16, body: usize, cut: usize },
     Half { request: u16 },
     Abort { request: u16 },
@@ -31,7 +33,7 @@
     Write { most: usize },
 }
 
-impl Arbitrary for Front {
+impl Arbitrary for ClientStep {
     fn arbitrary(g: &mut Gen) -> Self {
         let (request, which) = (u16::arbitrary(g) % 40 + 1, usize::arbitrary(g) % 40);
         let body = *g.choose(&[0, 1, 7, 900, 65_535, 240_000]).unwrap_or(&0);
@@ -98,11 +100,11 @@
 }
 
 /// With so much that its client hasn't read, a connection turns further requests away.
-const UNWRITTEN: usize = 1 << 20;
+const REJECT_UNWRITTEN_BYTES: usize = 1 << 20;
 
 #[test]
 fn a_client_connection_answers_each_open_request_once_and_whole() {
-    fn property(steps: Vec<Front>) -> bool {
+    fn property(steps: Vec<ClientStep>) -> bool {
         let (mut conn, mut client) = (Conn::new(0.0), Client::default());
         // The model: open requests and, for whole ones, their number here; answers owed to the client.
         let mut open: BTreeMap<u16, Option<u64>> = BTreeMap::new();
@@ -113,10 +115,10 @@
         let mut excused: BTreeSet<u16> = BTreeSet::new();
         for step in steps {
             match step {
-                Front::Ask { request, .. } | Front::Half { request }
+                ClientStep::Ask { request, .. } | ClientStep::Half { request }
                     if open.contains_key(&request) || unseen.contains(&request) => {}
-                Front::Half { request } => {
-                    let full = open.len() >= 32 || conn.unwritten() >= UNWRITTEN;
+                ClientStep::Half { request } => {
+                    let full = open.len() >= 32 || conn.unwritten_bytes() >= REJECT_UNWRITTEN_BYTES;
                     let heard = whole(conn.receive(0.0, &begin(request, 1))).expect("well-formed");
                     assert_eq!(heard, []);
                     if full {
@@ -126,9 +128,9 @@
                         open.insert(request, None);
                     }
                 }
-                Front::Ask { request, body, cut } => {
+                ClientStep::Ask { request, body, cut } => {
                     let sent = asking(request, "/ops/page", ID, &vec![7; body]);
-                    let full = open.len() >= 32 || conn.unwritten() >= UNWRITTEN;
+                    let full = open.len() >= 32 || conn.unwritten_bytes() >= REJECT_UNWRITTEN_BYTES;
                     let mut heard = Vec::new();
                     for part in sent.chunks(cut) {
                         heard.extend(whole(conn.receive(0.0, part)).expect("well-formed"));
@@ -139,7 +141,7 @@
                         unseen.insert(request);
                         continue;
                     }
-                    let [Heard::Asked(serial, asked, _)] = &heard[..] else { panic!("{heard:?}") };
+                    let [ClientEvent::Request(serial, asked, _)] = &heard[..] else { panic!("{heard:?}") };
                     let Ok(ask) = asked else {
                         assert!(body > 64 * 1024, "{asked:?}");
                         open.insert(request, Some(*serial));
@@ -149,7 +151,7 @@
                     assert_eq!((ask.class.as_str(), ask.holds.as_deref()), ("page", Some("4be0")));
                     open.insert(request, Some(*serial));
                 }
-                Front::Abort { request } => {
+                ClientStep::Abort { request } => {
                     let mut out = Vec::new();
                     fastcgi::record(&mut out, kind::ABORT, request, b"");
                     let heard = whole(conn.receive(0.0, &out)).expect("well-formed");
@@ -158,7 +160,7 @@
                         excused.insert(request);
                     }
                 }
-                Front::Answer { which, body } => {
+                ClientStep::Answer { which, body } => {
                     let whole: Vec<_> = open.iter().filter_map(|(id, s)| s.map(|s| (*id, s))).collect();
                     let Some((request, serial)) = whole.get(which % whole.len().max(1)).copied() else {
                         continue;
@@ -169,7 +171,7 @@
                     owed.push((request, 0, body));
                     unseen.insert(request);
                 }
-                Front::Write { most } => {
+                ClientStep::Write { most } => {
                     let Some(bytes) = conn.output() else { continue };
                     let bytes = bytes[..bytes.len().min(most)].to_vec();
                     conn.wrote(0.0, bytes.len());
@@ -194,9 +196,9 @@
         owed.retain(|(request, ..)| !excused.contains(request));
         client.ended.retain(|(request, ..)| !excused.contains(request));
         assert_eq!(client.ended.iter().map(heads).collect::<Vec<_>>(), owed, "in order, whole, once");
-        conn.unwritten() == 0
+        conn.unwritten_bytes() == 0
     }
-    check(property as fn(Vec<Front>) -> bool);
+    check(property as fn(Vec<ClientStep>) -> bool);
 }
 
 #[test]
@@ -220,7 +222,7 @@
         let mut out = Vec::new();
         fastcgi::record(&mut out, kind::ABORT, 1, b"");
         assert_eq!(whole(conn.receive(0.0, &out)), Ok(vec![]));
-        assert!(conn.taken_back() > 100_000);
+        assert!(conn.take_retracted_bytes() > 100_000);
         while let Some(bytes) = conn.output().map(<[u8]>::to_vec) {
             conn.wrote(0.0, bytes.len());
             client.take(&bytes);
@@ -242,7 +244,10 @@
     for serial in 1..=5 {
         assert!(conn.answer(serial, &Reply::Served(vec![9; 240_000])));
     }
-    assert!(conn.unwritten() > UNWRITTEN && conn.listens(), "it may still take something back");
+    assert!(
+        conn.unwritten_bytes() > REJECT_UNWRITTEN_BYTES && conn.may_read(),
+        "it may still take something back"
+    );
     assert_eq!(
         whole(conn.receive(0.0, &asking(7, "/ops/page", ID, b""))),
         Ok(vec![]),
@@ -250,14 +255,14 @@
     );
     let mut out = Vec::new();
     fastcgi::record(&mut out, kind::ABORT, 6, b"");
-    assert_eq!(whole(conn.receive(0.0, &out)), Ok(vec![Heard::Aborted(6)]));
+    assert_eq!(whole(conn.receive(0.0, &out)), Ok(vec![ClientEvent::Aborted(6)]));
     // It goes on asking for ever: what it is told for that is bounded as well.
     let mut asked = 0;
-    while conn.listens() {
+    while conn.may_read() {
         asked += 1;
         whole(conn.receive(0.0, &asking(8, "/ops/page", ID, b""))).expect("well-formed");
     }
-    assert!(asked > 10_000 && conn.unwritten() < 3 * UNWRITTEN, "{asked}");
+    assert!(asked > 10_000 && conn.unwritten_bytes() < 3 * REJECT_UNWRITTEN_BYTES, "{asked}");
     let mut client = Client::default();
     while let Some(bytes) = conn.output().map(<[u8]>::to_vec) {
         conn.wrote(0.0, bytes.len());
@@ -280,9 +285,9 @@
     for last in [end, &abort] {
         let mut conn = Conn::new(0.0);
         whole(conn.receive(0.0, most)).expect("well-formed");
-        assert!(conn.holding() > 60_000);
+        assert!(conn.buffered_bytes() > 60_000);
         whole(conn.receive(0.0, last)).expect("well-formed");
-        assert_eq!(conn.holding(), 0);
+        assert_eq!(conn.buffered_bytes(), 0);
     }
 }
 
@@ -297,7 +302,7 @@
         let at = 100.0 + 200.0 * serial as f64;
         whole(conn.receive(at, &asking(2, "/ops/page", ID, b""))).expect("well-formed");
         assert!(conn.answer(serial, &Reply::Refused { hold_off_ms: None, reason: Refusal::Draining }));
-        if conn.standing(at) != Standing::Good {
+        if conn.check_timeouts(at) != TimeoutStatus::Ok {
             break;
         }
         last_good = at;
@@ -307,47 +312,60 @@
 
 #[test]
 fn a_client_that_is_silent_half_done_deaf_or_gone_is_told_from_one_that_awaits_an_answer() {
-    assert_eq!(Conn::new(1000.0).standing(2900.0), Standing::Good);
+    assert_eq!(Conn::new(1000.0).check_timeouts(2900.0), TimeoutStatus::Ok);
     assert_eq!(
-        Conn::new(1000.0).standing(3100.0),
-        Standing::Over(ClientClose::Silent),
+        Conn::new(1000.0).check_timeouts(3100.0),
+        TimeoutStatus::Connection(ClientClose::Silent),
         "it never says anything"
     );
     let mut conn = Conn::new(0.0);
     whole(conn.receive(10.0, &begin(1, 1))).expect("well-formed");
     // Its first request never comes to its end: it is told so, and the close comes after, as for any that rests.
-    let Standing::Late(late) = conn.standing(2100.0) else { panic!("it is late") };
-    assert!(matches!(late[..], [Heard::Asked(1, Err(_), _)]) && conn.standing(2100.0) == Standing::Good);
+    let TimeoutStatus::Requests(late) = conn.check_timeouts(2100.0) else { panic!("it is late") };
+    assert!(
+        matches!(late[..], [ClientEvent::Request(1, Err(_), _)])
+            && conn.check_timeouts(2100.0) == TimeoutStatus::Ok
+    );
     assert!(conn.answer(1, &Reply::Failed(Failure::BadRequest("late"))));
-    let unwritten = conn.unwritten();
+    let unwritten = conn.unwritten_bytes();
     conn.wrote(2200.0, unwritten);
-    assert_eq!(conn.standing(6600.0), Standing::Good);
-    assert_eq!(conn.standing(6800.0), Standing::Over(ClientClose::Idle));
+    assert_eq!(conn.check_timeouts(6600.0), TimeoutStatus::Ok);
+    assert_eq!(conn.check_timeouts(6800.0), TimeoutStatus::Connection(ClientClose::Idle));
     let mut conn = Conn::new(0.0);
     whole(conn.receive(10.0, &asking(2, "/ops/page", ID, b""))).expect("well-formed");
-    assert_eq!((conn.standing(9000.0), conn.spare(9000.0)), (Standing::Good, None), "it awaits an answer");
+    assert_eq!(
+        (conn.check_timeouts(9000.0), conn.shed_priority(9000.0)),
+        (TimeoutStatus::Ok, None),
+        "it awaits an answer"
+    );
     // Half a request beside it is turned away alone, once, and what still comes of it is passed over.
     whole(conn.receive(5000.0, &begin(1, 1))).expect("well-formed");
-    let Standing::Late(late) = conn.standing(7100.0) else { panic!("it is late") };
-    assert!(matches!(late[..], [Heard::Asked(2, Err(_), _)]) && conn.standing(7100.0) == Standing::Good);
+    let TimeoutStatus::Requests(late) = conn.check_timeouts(7100.0) else { panic!("it is late") };
+    assert!(
+        matches!(late[..], [ClientEvent::Request(2, Err(_), _)])
+            && conn.check_timeouts(7100.0) == TimeoutStatus::Ok
+    );
     let rest = asking(1, "/ops/page", ID, b"").split_off(16);
     assert_eq!(whole(conn.receive(7200.0, &rest)), Ok(vec![]));
     assert!(conn.answer(2, &Reply::Failed(Failure::BadRequest("late"))) && conn.answer(1, &Reply::Unchanged));
     assert_eq!(
-        (conn.standing(13_000.0), conn.standing(13_300.0)),
-        (Standing::Good, Standing::Over(ClientClose::Deaf)),
+        (conn.check_timeouts(13_000.0), conn.check_timeouts(13_300.0)),
+        (TimeoutStatus::Ok, TimeoutStatus::Connection(ClientClose::Deaf)),
         "deaf"
     );
-    let unwritten = conn.unwritten();
+    let unwritten = conn.unwritten_bytes();
     conn.wrote(7300.0, unwritten);
     assert_eq!(
-        (conn.standing(11_700.0), conn.standing(11_900.0)),
-        (Standing::Good, Standing::Over(ClientClose::Idle)),
+        (conn.check_timeouts(11_700.0), conn.check_timeouts(11_900.0)),
+        (TimeoutStatus::Ok, TimeoutStatus::Connection(ClientClose::Idle)),
         "idle"
     );
     // When descriptors are short the silent go first, then those that rest.
-    assert!(Conn::new(9000.0).spare(9100.0) < conn.spare(9100.0) && conn.spare(9100.0).is_some());
-    assert_eq!(Conn::new(9000.0).spare(9010.0), None, "its first bytes may be there, unread");
+    assert!(
+        Conn::new(9000.0).shed_priority(9100.0) < conn.shed_priority(9100.0)
+            && conn.shed_priority(9100.0).is_some()
+    );
+    assert_eq!(Conn::new(9000.0).shed_priority(9010.0), None, "its first bytes may be there, unread");
 }
 
 #[test]
@@ -355,12 +373,12 @@
     let mut conn = Conn::new(0.0);
     let sent = asking(1, "/ops/page", ID, &[7; 140_000]);
     let heard = whole(conn.receive(0.0, &sent[..sent.len() - 8])).expect("well-formed");
-    assert!(matches!(heard[..], [Heard::Asked(1, Err(_), _)]), "before its end: {heard:?}");
+    assert!(matches!(heard[..], [ClientEvent::Request(1, Err(_), _)]), "before its end: {heard:?}");
     let mut more = Vec::new();
     fastcgi::record(&mut more, kind::STDIN, 1, &[7; 60_000]);
     assert_eq!(whole(conn.receive(0.0, &more)), Ok(vec![]));
     assert!(
-        conn.answer(1, &Reply::Failed(Failure::BadRequest("too big"))) && conn.holding() == 0,
+        conn.answer(1, &Reply::Failed(Failure::BadRequest("too big"))) && conn.buffered_bytes() == 0,
         "nothing of it is kept"
     );
     let most = (0..2000).take_while(|_| whole(conn.receive(0.0, &more)).is_ok()).count();
@@ -386,7 +404,7 @@
     assert!(whole(&impossible).is_err(), "a length beyond the parameters");
     for (path, id) in [("/ops/page", ""), ("/ops/page", "a,b=c"), ("/elsewhere", ID)] {
         let heard = whole(&asking(3, path, id, b"")).expect("the connection goes on");
-        assert!(matches!(heard[..], [Heard::Asked(_, Err(_), _)]), "{heard:?}");
+        assert!(matches!(heard[..], [ClientEvent::Request(_, Err(_), _)]), "{heard:?}");
     }
     // Each of these would end a machine's connection, be answered with an error, or upset the forecast.
     for (name, value) in [
@@ -410,10 +428,10 @@
         fastcgi::record(&mut record, kind::PARAMS, 3, &params);
         sent.splice(16..16, record);
         let heard = whole(&sent).expect("the connection goes on");
-        assert!(matches!(heard[..], [Heard::Asked(1, Err(_), _)]), "{name}={value}: {heard:?}");
+        assert!(matches!(heard[..], [ClientEvent::Request(1, Err(_), _)]), "{name}={value}: {heard:?}");
     }
     let heard = whole(&asking(3, "/alive", "", b"")).expect("well-formed");
-    assert!(matches!(heard[..], [Heard::Health(1)]));
+    assert!(matches!(heard[..], [ClientEvent::HealthCheck(1)]));
     let noise = |bytes: Vec<u8>| whole_survives(&bytes);
     check(noise as fn(Vec<u8>) -> bool);
 }
@@ -423,11 +441,11 @@
     let _ = whole(
         Conn::new(0.0).receive(0.0, &[begin(1, 1), vec![1, 4, 0, 1, 0, 9, 0, 0], bytes.to_vec()].concat()),
     );
-    let (mut links, member) = (links(), CacheId::from("m"));
-    let (key, _) = links.send(0.0, 1, &member, &call("a")).expect("room");
-    up(&mut links, 0.0, key);
-    let _ = links.receive(0.0, key, bytes);
-    let _ = links.receive(0.0, key, &[b"*2\r\n$1\r\na\r\n".to_vec(), bytes.to_vec()].concat());
+    let (mut pool, machine) = (connection_pool(), CacheId::from("m"));
+    let (key, _) = pool.send(0.0, 1, &machine, &call("a")).expect("room");
+    complete_dial(&mut pool, 0.0, key);
+    let _ = pool.receive(0.0, key, bytes);
+    let _ = pool.receive(0.0, key, &[b"*2\r\n$1\r\na\r\n".to_vec(), bytes.to_vec()].concat());
     true
 }
 
@@ -435,23 +453,23 @@
     SocketAddr::from(([127, 0, 0, 1], port))
 }
 
-fn links() -> Links {
-    let mut links = Links::new(400.0, 30_000.0, 100, 40);
-    list(&mut links, &CacheId::from("m"), 1);
-    links
+fn connection_pool() -> ConnectionPool {
+    let mut pool = ConnectionPool::new(400.0, 30_000.0, 100, 40);
+    list_machine(&mut pool, &CacheId::from("m"), 1);
+    pool
 }
 
 /// The notice board has said where a machine listens.
-fn list(links: &mut Links, member: &CacheId, port: u16) {
+fn list_machine(pool: &mut ConnectionPool, machine: &CacheId, port: u16) {
     let listing = Listing { phase: Phase::Serving, address: Some(address(port)), cold_until: None };
-    links.list(member, listing);
+    pool.update_listing(machine, listing);
 }
 
 /// The one dial for a connection is up, if it isn't yet.
-fn up(links: &mut Links, now: Millis, key: u64) {
-    links.poll(now);
-    if let Some((dial, _)) = links.dials(key).first().cloned() {
-        assert_eq!(links.up(now, key, dial), Some(vec![]), "there is no other");
+fn complete_dial(pool: &mut ConnectionPool, now: Millis, key: u64) {
+    pool.poll_dials(now);
+    if let Some((dial, _)) = pool.dials(key).first().cloned() {
+        assert_eq!(pool.dial_connected(now, key, dial), Some(vec![]), "there is no other");
     }
 }
 
@@ -479,31 +497,35 @@
 
 #[test]
 fn a_request_and_its_answer_are_worded_as_the_protocol_says() {
-    let (mut links, member) = (links(), CacheId::from("m"));
-    let (key, new) = links.send(0.0, 5, &member, &call("a")).expect("room");
-    assert!(new && links.output(key).is_none(), "not before it is up");
-    up(&mut links, 0.0, key);
+    let (mut pool, machine) = (connection_pool(), CacheId::from("m"));
+    let (key, new) = pool.send(0.0, 5, &machine, &call("a")).expect("room");
+    assert!(new && pool.output(key).is_none(), "not before it is up");
+    complete_dial(&mut pool, 0.0, key);
     let fields = "cls=page,item=7f3a,limit=901,fetch=p,retain=2,newer=15,handle=coalesce+freshen";
     let bytes = resp::frame(&[b"REQ", b"a", fields.as_bytes(), b""]);
-    assert_eq!(links.output(key), Some(&bytes[..]));
-    assert_eq!(links.wrote(0.0, key, 4), Some((5, Progress::PartlyWritten)));
-    assert_eq!(links.wrote(0.0, key, bytes.len() - 4), Some((5, Progress::WrittenWhole)));
+    assert_eq!(pool.output(key), Some(&bytes[..]));
+    assert_eq!(pool.wrote(0.0, key, 4), Some((5, Progress::PartlyWritten)));
+    assert_eq!(pool.wrote(0.0, key, bytes.len() - 4), Some((5, Progress::WrittenWhole)));
     // One byte at a time.
     let mut heard = Vec::new();
     for byte in reply("a", "DONE") {
-        let (one, fault) = links.receive(9.0, key, &[byte]);
+        let (one, fault) = pool.receive(9.0, key, &[byte]);
         assert_eq!(fault, None);
         heard.extend(one);
     }
-    let [Back::Answer(5, answer)] = &heard[..] else { panic!("{heard:?}") };
+    let [EndpointEvent::Answer(5, answer)] = &heard[..] else { panic!("{heard:?}") };
     assert_eq!((answer.outcome, answer.note), (Outcome::Ok, Some(Note::FilledFromOrigin)));
     assert_eq!((answer.source_wait_ms, answer.body.as_slice()), (Some(9.5), &b"bytes\r\n"[..]));
     assert_eq!((answer.report.util, answer.report.link), (Some(0.61), None));
-    assert_eq!(links.receive(9.0, key, &reply("a", "DONE")).0, [Back::Late], "a second copy");
-    assert_eq!(links.receive(9.0, key, &reply("never", "DONE")).0, [Back::Unknown], "an id never issued");
+    assert_eq!(pool.receive(9.0, key, &reply("a", "DONE")).0, [EndpointEvent::Late], "a second copy");
+    assert_eq!(
+        pool.receive(9.0, key, &reply("never", "DONE")).0,
+        [EndpointEvent::Unknown],
+        "an id never issued"
+    );
     // Nor would the id go out on it again: what still comes under it would be taken for the answer.
-    assert_ne!(links.send(9.0, 6, &member, &call("a")).map(|(key, _)| key), Ok(key));
-    assert!(links.receive(9.0, key, b"*1\r\n$x\r\n").1.is_some());
+    assert_ne!(pool.send(9.0, 6, &machine, &call("a")).map(|(key, _)| key), Ok(key));
+    assert!(pool.receive(9.0, key, b"*1\r\n$x\r\n").1.is_some());
 }
 
 /// Steps on the connections to one machine.
@@ -536,7 +558,7 @@
 #[test]
 fn an_attempt_ends_once_and_its_progress_is_what_was_written() {
     fn property(steps: Vec<Step>) -> bool {
-        let (mut links, member, mut now) = (links(), CacheId::from("m"), 0.0);
+        let (mut pool, machine, mut now) = (connection_pool(), CacheId::from("m"), 0.0);
         // The model: attempts out, their id and connection; what each connection wrote; the ids it gave up.
         let mut out: BTreeMap<u64, (String, u64)> = BTreeMap::new();
         let mut come: BTreeMap<u64, Progress> = BTreeMap::new();
@@ -549,7 +571,7 @@
                 Step::Send { id } => {
                     next += 1;
                     let id = format!("id-{id}");
-                    let Ok((key, new)) = links.send(now, next, &member, &call(&id)) else {
+                    let Ok((key, new)) = pool.send(now, next, &machine, &call(&id)) else {
                         continue;
                     };
                     assert_eq!(new, !wrote.contains_key(&key));
@@ -561,16 +583,18 @@
                 Step::Stop { which } => {
                     let Some(attempt) = out.keys().nth(which % out.len().max(1)).copied() else { continue };
                     let key = out.remove(&attempt).map(|(_, key)| key);
-                    assert_eq!(links.stop(now, attempt), key);
-                    assert_eq!(links.stop(now, attempt), None, "once");
+                    assert_eq!(pool.stop(now, attempt), key);
+                    assert_eq!(pool.stop(now, attempt), None, "once");
+                }
+                Step::Up { which } => {
+                    pick(which).into_iter().for_each(|key| complete_dial(&mut pool, now, key))
                 }
-                Step::Up { which } => pick(which).into_iter().for_each(|key| up(&mut links, now, key)),
                 Step::Write { which, most } => {
                     let Some(key) = pick(which) else { continue };
-                    let Some(bytes) = links.output(key) else { continue };
+                    let Some(bytes) = pool.output(key) else { continue };
                     let bytes = bytes[..bytes.len().min(most.max(1))].to_vec();
                     *wrote.entry(key).or_default() += bytes.len();
-                    if let Some((attempt, progress)) = links.wrote(now, key, bytes.len()) {
+                    if let Some((attempt, progress)) = pool.wrote(now, key, bytes.len()) {
                         assert!(progress >= Progress::PartlyWritten);
                         assert_eq!(out[&attempt].1, key, "no byte of one that was given up begins to leave");
                         assert!(come.insert(attempt, progress) <= Some(progress));
@@ -580,7 +604,7 @@
                     let Some(attempt) = out.keys().nth(which % out.len().max(1)).copied() else { continue };
                     let (id, key) = out[&attempt].clone();
                     let word = ["DONE", "KEEP", "LACK", "WAIT", "BROKE", "HUH"][word];
-                    let (heard, fault) = links.receive(now, key, &reply(&id, word));
+                    let (heard, fault) = pool.receive(now, key, &reply(&id, word));
                     if word == "HUH" && come.get(&attempt) == Some(&Progress::WrittenWhole) {
                         // What can't be read ends the connection; here the model goes on with it.
                         assert!(fault.is_some() && heard.is_empty());
@@ -588,12 +612,12 @@
                     }
                     assert_eq!(fault, None);
                     match &heard[..] {
-                        [Back::Answer(of, _)] if *of == attempt => {
+                        [EndpointEvent::Answer(of, _)] if *of == attempt => {
                             assert_eq!(come.get(&attempt), Some(&Progress::WrittenWhole));
                             out.remove(&attempt);
                         }
                         // Nothing can be answered that has not left whole.
-                        [Back::Unknown | Back::Late] => {
+                        [EndpointEvent::Unknown | EndpointEvent::Late] => {
                             assert!(come.get(&attempt) != Some(&Progress::WrittenWhole))
                         }
                         other => panic!("{other:?}"),
@@ -601,8 +625,8 @@
                 }
                 Step::Down { which } => {
                     let Some(key) = pick(which) else { continue };
-                    let was_up = links.is_up(key);
-                    let ended = links.down(now, key, None);
+                    let was_up = pool.is_connected(key);
+                    let ended = pool.connection_closed(now, key, None);
                     let lost: BTreeSet<u64> = ended.lost.iter().map(|(attempt, _)| *attempt).collect();
                     for (attempt, progress) in ended.lost {
                         let (_, on) = out.remove(&attempt).expect("it was out");
@@ -614,10 +638,10 @@
                     assert!(moved.iter().all(|attempt| !lost.contains(attempt)));
                     // What moves on had not begun to leave; it goes to one that isn't up yet.
                     assert!(moved.is_empty() || was_up);
-                    assert!(ended.moved.iter().all(|to| !links.is_up(*to)));
+                    assert!(ended.moved.iter().all(|to| !pool.is_connected(*to)));
                     for attempt in moved {
                         let (id, _) = out[&attempt].clone();
-                        let to = links.carrier(attempt).expect("it is still out");
+                        let to = pool.connection_of(attempt).expect("it is still out");
                         assert!(ended.moved.contains(&to), "each new one is told of, to be dialled");
                         wrote.entry(to).or_default();
                         out.insert(attempt, (id, to));
@@ -627,7 +651,7 @@
                 Step::Wait => now += 200.0,
             }
         }
-        out.iter().all(|(attempt, (_, key))| links.carrier(*attempt) == Some(*key))
+        out.iter().all(|(attempt, (_, key))| pool.connection_of(*attempt) == Some(*key))
     }
     check(property as fn(Vec<Step>) -> bool);
 }
@@ -648,79 +672,79 @@
             fastcgi::record(&mut out, what, 1, content);
         }
         let mut heard = whole(Conn::new(0.0).receive(0.0, &out)).expect("well-formed");
-        let Some(Heard::Asked(_, asked, _)) = heard.pop() else { panic!("{heard:?}") };
+        let Some(ClientEvent::Request(_, asked, _)) = heard.pop() else { panic!("{heard:?}") };
         asked
     };
     for bad in ["a,limit=1", "a b", &"x".repeat(129)] {
         assert!(ask_with(bad).is_err(), "it could pass for another field: {bad}");
     }
     let ask = ask_with("c7ab15fa3c57c2968256bea080fceb6d").expect("good");
-    let (mut links, member) = (links(), CacheId::from("m"));
+    let (mut pool, machine) = (connection_pool(), CacheId::from("m"));
     let call = Call { ask: ask.into(), ..call("a") };
-    let (key, _) = links.send(0.0, 5, &member, &call).expect("room");
-    up(&mut links, 0.0, key);
-    let text = String::from_utf8_lossy(links.output(key).expect("it is up")).into_owned();
+    let (key, _) = pool.send(0.0, 5, &machine, &call).expect("room");
+    complete_dial(&mut pool, 0.0, key);
+    let text = String::from_utf8_lossy(pool.output(key).expect("it is up")).into_owned();
     assert!(text.contains(",nonce=c7ab15fa3c57c2968256bea080fceb6d\r\n"), "{text}");
 }
 
 #[test]
 fn an_id_that_was_given_up_is_not_used_again_there_however_many_came_after_it() {
-    let (mut links, member) = (links(), CacheId::from("m"));
-    let (key, _) = links.send(0.0, 1, &member, &call("a")).expect("room");
-    up(&mut links, 0.0, key);
-    let write = |links: &mut Links, now| {
-        while let Some(bytes) = links.output(key).map(<[u8]>::len) {
-            links.wrote(now, key, bytes);
+    let (mut pool, machine) = (connection_pool(), CacheId::from("m"));
+    let (key, _) = pool.send(0.0, 1, &machine, &call("a")).expect("room");
+    complete_dial(&mut pool, 0.0, key);
+    let write = |pool: &mut ConnectionPool, now| {
+        while let Some(bytes) = pool.output(key).map(<[u8]>::len) {
+            pool.wrote(now, key, bytes);
         }
     };
-    write(&mut links, 0.0);
-    links.stop(10.0, 1);
+    write(&mut pool, 0.0);
+    pool.stop(10.0, 1);
     // Two hundred requests later, within the time in which its answer may still come, it is tried again.
     for at in 0..200 {
         let id = format!("other{at}");
-        let (other, _) = links.send(20.0, 10 + at, &member, &call(&id)).expect("room");
+        let (other, _) = pool.send(20.0, 10 + at, &machine, &call(&id)).expect("room");
         assert_eq!(other, key, "one at a time: the same connection");
-        write(&mut links, 20.0);
-        assert_eq!(links.receive(20.0, key, &reply(&id, "DONE")).0.len(), 1);
+        write(&mut pool, 20.0);
+        assert_eq!(pool.receive(20.0, key, &reply(&id, "DONE")).0.len(), 1);
     }
-    let (again, new) = links.send(500.0, 2, &member, &call("a")).expect("room");
+    let (again, new) = pool.send(500.0, 2, &machine, &call("a")).expect("room");
     assert!(again != key && new, "its late answer would be taken for the new one's");
-    assert_eq!(links.receive(500.0, key, &reply("a", "DONE")).0, [Back::Late]);
+    assert_eq!(pool.receive(500.0, key, &reply("a", "DONE")).0, [EndpointEvent::Late]);
 }
 
 #[test]
 fn a_mute_connection_gets_nothing_more_and_a_sound_clears_it() {
-    let (mut links, member) = (links(), CacheId::from("m"));
-    let (first, _) = links.send(0.0, 1, &member, &call("a")).expect("room");
-    up(&mut links, 0.0, first);
-    let bytes = links.output(first).map_or(0, <[u8]>::len);
-    links.wrote(0.0, first, bytes);
-    assert_eq!(links.send(300.0, 2, &member, &call("b")), Ok((first, false)));
-    let (second, new) = links.send(900.0, 3, &member, &call("c")).expect("room");
+    let (mut pool, machine) = (connection_pool(), CacheId::from("m"));
+    let (first, _) = pool.send(0.0, 1, &machine, &call("a")).expect("room");
+    complete_dial(&mut pool, 0.0, first);
+    let bytes = pool.output(first).map_or(0, <[u8]>::len);
+    pool.wrote(0.0, first, bytes);
+    assert_eq!(pool.send(300.0, 2, &machine, &call("b")), Ok((first, false)));
+    let (second, new) = pool.send(900.0, 3, &machine, &call("c")).expect("room");
     assert!(new && second != first, "its machine may have vanished");
-    links.receive(950.0, first, &reply("a", "LACK"));
-    assert_eq!(links.send(960.0, 4, &member, &call("d")), Ok((first, false)));
+    pool.receive(950.0, first, &reply("a", "LACK"));
+    assert_eq!(pool.send(960.0, 4, &machine, &call("d")), Ok((first, false)));
     // Nor does one take the id again that it has given up: the old answer could come yet.
-    let bytes = links.output(first).map_or(0, <[u8]>::len);
-    links.wrote(960.0, first, bytes);
-    links.stop(970.0, 2);
-    assert_ne!(links.send(980.0, 5, &member, &call("b")).map(|(key, _)| key), Ok(first));
-    assert_eq!(links.receive(990.0, first, &reply("b", "DONE")).0, [Back::Late]);
+    let bytes = pool.output(first).map_or(0, <[u8]>::len);
+    pool.wrote(960.0, first, bytes);
+    pool.stop(970.0, 2);
+    assert_ne!(pool.send(980.0, 5, &machine, &call("b")).map(|(key, _)| key), Ok(first));
+    assert_eq!(pool.receive(990.0, first, &reply("b", "DONE")).0, [EndpointEvent::Late]);
 }
 
 #[test]
 fn all_connections_that_take_over_from_one_that_closed_are_told_of() {
     // One that is forgotten is never dialled, and what waits on it is lost.
-    let (mut links, member) = (links(), CacheId::from("m"));
-    let (first, _) = links.send(0.0, 1, &member, &call("id-1")).expect("room");
-    up(&mut links, 0.0, first);
+    let (mut pool, machine) = (connection_pool(), CacheId::from("m"));
+    let (first, _) = pool.send(0.0, 1, &machine, &call("id-1")).expect("room");
+    complete_dial(&mut pool, 0.0, first);
     for attempt in 2..=20 {
-        links.send(0.0, attempt, &member, &call(&format!("id-{attempt}"))).expect("room");
+        pool.send(0.0, attempt, &machine, &call(&format!("id-{attempt}"))).expect("room");
     }
-    assert_eq!(links.count(), 8, "a bounded number, each dialled only beside crowded ones");
-    let own: Vec<u64> = (1..=20).filter(|attempt| links.carrier(*attempt) == Some(first)).collect();
-    let ended = links.down(1.0, first, None);
-    let carriers: BTreeSet<u64> = own.iter().filter_map(|attempt| links.carrier(*attempt)).collect();
+    assert_eq!(pool.count(), 8, "a bounded number, each dialled only beside crowded ones");
+    let own: Vec<u64> = (1..=20).filter(|attempt| pool.connection_of(*attempt) == Some(first)).collect();
+    let ended = pool.connection_closed(1.0, first, None);
+    let carriers: BTreeSet<u64> = own.iter().filter_map(|attempt| pool.connection_of(*attempt)).collect();
     assert_eq!(
         (ended.lost, own.len()),
         (vec![], 3),
@@ -731,32 +755,36 @@
 
 #[test]
 fn an_answer_that_stops_short_ends_its_connection_and_a_spoilt_one_is_no_answer() {
-    let written = |links: &mut Links, attempt: u64, id: &str| {
-        let (key, _) = links.send(0.0, attempt, &CacheId::from("m"), &call(id)).expect("room");
-        up(links, 0.0, key);
-        let bytes = links.output(key).map_or(0, <[u8]>::len);
-        links.wrote(0.0, key, bytes);
+    let written = |pool: &mut ConnectionPool, attempt: u64, id: &str| {
+        let (key, _) = pool.send(0.0, attempt, &CacheId::from("m"), &call(id)).expect("room");
+        complete_dial(pool, 0.0, key);
+        let bytes = pool.output(key).map_or(0, <[u8]>::len);
+        pool.wrote(0.0, key, bytes);
         key
     };
-    let mut links = links();
-    let key = written(&mut links, 1, "a");
+    let mut pool = connection_pool();
+    let key = written(&mut pool, 1, "a");
     let whole = reply("a", "DONE");
     // Without a bound, all that is asked on it waits until its time is up.
-    links.receive(100.0, key, &whole[..20]);
-    assert_eq!(links.expired(350.0), vec![]);
-    assert_eq!(links.expired(450.0), [(key, EndpointClose::Stalled)]);
-    assert_eq!(links.down(450.0, key, None).lost, [(1, Progress::WrittenWhole)], "it may have run");
+    pool.receive(100.0, key, &whole[..20]);
+    assert_eq!(pool.expired(350.0), vec![]);
+    assert_eq!(pool.expired(450.0), [(key, EndpointClose::Stalled)]);
+    assert_eq!(
+        pool.connection_closed(450.0, key, None).lost,
+        [(1, Progress::WrittenWhole)],
+        "it may have run"
+    );
     // One that comes byte by byte never stops, and isn't whole for just as long; several in turn are.
-    let (drips, turns) = (written(&mut links, 2, "a"), written(&mut links, 3, "b"));
+    let (drips, turns) = (written(&mut pool, 2, "a"), written(&mut pool, 3, "b"));
     for (at, byte) in whole.iter().enumerate().take(20) {
         let now = 100.0 * at as Millis;
-        links.receive(now, drips, &[*byte]);
-        links.receive(now, turns, &[&whole[if at == 0 { 0 } else { 5 }..], &whole[..5]].concat());
+        pool.receive(now, drips, &[*byte]);
+        pool.receive(now, turns, &[&whole[if at == 0 { 0 } else { 5 }..], &whole[..5]].concat());
         let over = if now < 1000.0 { vec![] } else { vec![(drips, EndpointClose::Stalled)] };
-        assert_eq!(links.expired(now), over, "at {now}");
+        assert_eq!(pool.expired(now), over, "at {now}");
     }
-    links.down(2000.0, drips, None);
-    links.down(2000.0, turns, None);
+    pool.connection_closed(2000.0, drips, None);
+    pool.connection_closed(2000.0, turns, None);
     for (at, spoilt) in [
         resp::frame(&[b"a", b"HUH", b"-", b""]),
         resp::frame(&[b"a", b"DONE", b"-"]),
@@ -767,26 +795,26 @@
     .into_iter()
     .enumerate()
     {
-        let key = written(&mut links, 10 + at as u64, "a");
-        let (heard, fault) = links.receive(0.0, key, &spoilt);
+        let key = written(&mut pool, 10 + at as u64, "a");
+        let (heard, fault) = pool.receive(0.0, key, &spoilt);
         assert!(heard.is_empty() && fault.is_some(), "{heard:?}");
-        links.down(0.0, key, None);
+        pool.connection_closed(0.0, key, None);
     }
 }
 
 #[test]
 fn what_must_not_be_repeated_shares_no_connection_and_moves_are_bounded() {
-    let (mut links, member) = (links(), CacheId::from("m"));
+    let (mut pool, machine) = (connection_pool(), CacheId::from("m"));
     let alone = |id: &str| Call { alone: true, ..call(id) };
     let keys = [alone("a"), call("b"), call("c"), alone("d")];
-    let keys = keys.iter().zip(1..).map(|(call, at)| links.send(0.0, at, &member, call));
+    let keys = keys.iter().zip(1..).map(|(call, at)| pool.send(0.0, at, &machine, call));
     let keys: Vec<u64> = keys.map(|sent| sent.expect("room").0).collect();
     assert!(keys[1] == keys[2] && keys[0] != keys[1] && keys[3] != keys[1] && keys[0] != keys[3], "{keys:?}");
     // A machine that takes each connection and closes it must not keep the router busy with dialling.
     let mut key = keys[0];
     let moves = (0..20).take_while(|_| {
-        up(&mut links, 0.0, key);
-        let ended = links.down(0.0, key, None);
+        complete_dial(&mut pool, 0.0, key);
+        let ended = pool.connection_closed(0.0, key, None);
         key = ended.moved.first().copied().unwrap_or(0);
         ended.lost.is_empty()
     });
@@ -795,49 +823,49 @@
 
 #[test]
 fn near_the_bound_on_connections_new_machines_still_find_one() {
-    let mut links = Links::new(400.0, 30_000.0, 100, 16);
-    let members: Vec<CacheId> = (0..20).map(|at| CacheId::from(format!("m{at}").as_str())).collect();
-    members.iter().for_each(|member| list(&mut links, member, 1));
+    let mut pool = ConnectionPool::new(400.0, 30_000.0, 100, 16);
+    let machines: Vec<CacheId> = (0..20).map(|at| CacheId::from(format!("m{at}").as_str())).collect();
+    machines.iter().for_each(|machine| list_machine(&mut pool, machine, 1));
     // Two busy machines take what they may; a quarter stays for first connections to others.
     for attempt in 0..40 {
-        let member = &members[attempt as usize % 2];
-        links.send(0.0, attempt, member, &call(&format!("id-{attempt}"))).expect("room");
+        let machine = &machines[attempt as usize % 2];
+        pool.send(0.0, attempt, machine, &call(&format!("id-{attempt}"))).expect("room");
     }
-    assert_eq!(links.count(), 12);
-    for (attempt, member) in (102..).zip(&members[2..6]) {
-        let (key, new) = links.send(0.0, attempt, member, &call("a")).expect("room");
-        up(&mut links, 0.0, key);
+    assert_eq!(pool.count(), 12);
+    for (attempt, machine) in (102..).zip(&machines[2..6]) {
+        let (key, new) = pool.send(0.0, attempt, machine, &call("a")).expect("room");
+        complete_dial(&mut pool, 0.0, key);
         assert!(new);
     }
-    assert_eq!(links.send(0.0, 200, &members[6], &call("a")), Err(Unsent::NoRoom), "all are in use");
+    assert_eq!(pool.send(0.0, 200, &machines[6], &call("a")), Err(SendError::NoRoom), "all are in use");
     // One that rests makes room: it is closed next, though its idle time isn't over.
-    let rests = links.stop(5.0, 102).expect("it was out");
-    assert!(links.send(6.0, 201, &members[6], &call("a")).is_ok_and(|(_, new)| new));
-    assert_eq!(links.expired(6.0), [(rests, EndpointClose::Idle)]);
+    let rests = pool.stop(5.0, 102).expect("it was out");
+    assert!(pool.send(6.0, 201, &machines[6], &call("a")).is_ok_and(|(_, new)| new));
+    assert_eq!(pool.expired(6.0), [(rests, EndpointClose::Idle)]);
 }
 
 #[test]
 fn connections_end_when_idle_retired_or_not_up_in_time() {
-    let (mut links, member) = (links(), CacheId::from("m"));
-    let (key, _) = links.send(0.0, 1, &member, &call("a")).expect("room");
-    assert_eq!((links.expired(399.0), links.expired(400.0)), (vec![], vec![(key, EndpointClose::NotUp)]));
-    up(&mut links, 10.0, key);
-    assert!(links.expired(60_000.0).is_empty(), "it carries something");
-    links.stop(50.0, 1);
+    let (mut pool, machine) = (connection_pool(), CacheId::from("m"));
+    let (key, _) = pool.send(0.0, 1, &machine, &call("a")).expect("room");
+    assert_eq!((pool.expired(399.0), pool.expired(400.0)), (vec![], vec![(key, EndpointClose::NotUp)]));
+    complete_dial(&mut pool, 10.0, key);
+    assert!(pool.expired(60_000.0).is_empty(), "it carries something");
+    pool.stop(50.0, 1);
     assert_eq!(
-        (links.expired(23_000.0), links.expired(25_000.0)),
+        (pool.expired(23_000.0), pool.expired(25_000.0)),
         (vec![], vec![(key, EndpointClose::Idle)]),
         "before the machine's time"
     );
     // Addresses are used again: another name, or another address, never shares a connection.
     let other = CacheId::from("n");
-    list(&mut links, &other, 1);
-    assert!(links.send(60.0, 2, &other, &call("a")).is_ok_and(|(_, new)| new));
-    list(&mut links, &member, 2);
-    assert!(links.send(60.0, 3, &member, &call("b")).is_ok_and(|(_, new)| new));
-    links.retire(&member);
-    assert!(links.expired(70.0).contains(&(key, EndpointClose::Idle)));
-    assert_eq!(links.older(&other, 61.0).len(), 1);
+    list_machine(&mut pool, &other, 1);
+    assert!(pool.send(60.0, 2, &other, &call("a")).is_ok_and(|(_, new)| new));
+    list_machine(&mut pool, &machine, 2);
+    assert!(pool.send(60.0, 3, &machine, &call("b")).is_ok_and(|(_, new)| new));
+    pool.retire(&machine);
+    assert!(pool.expired(70.0).contains(&(key, EndpointClose::Idle)));
+    assert_eq!(pool.dialed_before(&other, 61.0).len(), 1);
 }
 
 #[test]
@@ -848,8 +876,8 @@
         assert!(conn.answer(serial, &Reply::Served(vec![7; 200_000])));
         if full_ms > 0.0 {
             conn.wrote(at, 10);
-            conn.blocked(at);
-            conn.blocked(at + full_ms / 2.0);
+            conn.write_blocked(at);
+            conn.write_blocked(at + full_ms / 2.0);
         }
         while let Some(bytes) = conn.output().map(<[u8]>::len) {
             conn.wrote(at + full_ms, bytes);
@@ -857,11 +885,20 @@
     }
     let mut conn = Conn::new(0.0);
     serve(&mut conn, 1, 1000.0, 0.0);
-    assert!(!conn.at_rest(1190.0) && conn.at_rest(1210.0), "a slow client reads 1 MB a second");
+    assert!(
+        !conn.can_close_cleanly(1190.0) && conn.can_close_cleanly(1210.0),
+        "a slow client reads 1 MB a second"
+    );
     (2..6).for_each(|serial| serve(&mut conn, serial, 2000.0, 0.0));
-    assert!(!conn.at_rest(2290.0) && conn.at_rest(2310.0), "one that keeps up is not waited for any longer");
+    assert!(
+        !conn.can_close_cleanly(2290.0) && conn.can_close_cleanly(2310.0),
+        "one that keeps up is not waited for any longer"
+    );
     serve(&mut conn, 6, 3000.0, 90.0);
-    assert!(conn.at_rest(3400.0), "full for a moment says nothing");
+    assert!(conn.can_close_cleanly(3400.0), "full for a moment says nothing");
     serve(&mut conn, 7, 4000.0, 110.0);
-    assert!(!conn.at_rest(8100.0) && conn.at_rest(8120.0), "it is behind by all that the buffers take");
+    assert!(
+        !conn.can_close_cleanly(8100.0) && conn.can_close_cleanly(8120.0),
+        "it is behind by all that the buffers take"
+    );
 }
