--- a/tests/discovery.rs
+++ b/tests/discovery.rs
@@ -3,7 +3,7 @@
 use frostturn::api::*;
 use frostturn::clock::UnixTime;
 use frostturn::config::Config;
-use frostturn::discovery::{DiscoveryWatch, News, Word, LINGER_MS, POLL_SLACK_MS};
+use frostturn::discovery::{Announcement, DiscoveryClient, PollResponse, LONG_POLL_MS, POLL_SLACK_MS};
 
 fn answer(body: &str) -> Vec<u8> {
     format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len()).into_bytes()
@@ -17,8 +17,8 @@
     format!(r#"{{"rev":0,"notices":[{}]}}"#, notices.join(","))
 }
 
-fn revs(news: Result<Option<News>, String>) -> Vec<u64> {
-    news.expect("readable").expect("whole").notices.iter().map(|notice| notice.rev).collect()
+fn revisions(response: Result<Option<PollResponse>, String>) -> Vec<u64> {
+    response.expect("readable").expect("whole").events.iter().map(|event| event.rev).collect()
 }
 
 const POOL: &str = r#"{"rev":41,"pool":{"index":7,"snapshot":true,"endpoints":[{"name":"s-1","address":
@@ -35,76 +35,79 @@
         second.len()
     );
     for bytes in [plain, chunked.into_bytes()] {
-        let mut follower = DiscoveryWatch::new(3, 1);
-        let asked = follower.poll(0.0, ([127, 0, 0, 1], 9092).into());
+        let mut client = DiscoveryClient::new(3, 1);
+        let asked = client.poll(0.0, ([127, 0, 0, 1], 9092).into());
         assert!(asked.starts_with(b"GET /board/poll?watch=3&linger="));
-        let mut news = None;
+        let mut response = None;
         for byte in &bytes {
-            assert!(news.is_none(), "not before it is whole");
-            news = news.or(follower.feed(0.0, &[*byte], false).expect("readable"));
+            assert!(response.is_none(), "not before it is whole");
+            response = response.or(client.feed(0.0, &[*byte], false).expect("readable"));
         }
-        let news = news.expect("whole").notices;
-        let Some(Word::Pool { whole: true, machines }) = &news[0].word else { panic!("{news:?}") };
+        let response = response.expect("whole").events;
+        let Some(Announcement::Pool { snapshot: true, machines }) = &response[0].announcement else {
+            panic!("{response:?}")
+        };
         assert_eq!((machines[0].name.as_str(), machines[0].phase), ("s-1", Phase::Draining));
         assert_eq!(machines[0].since_unix_ms, Some(UnixTime(1764576000123.0)));
-        let expected = Word::Purge { object: None, group: 17, made_unix_ms: UnixTime(1764576000480.0) };
-        assert_eq!((news.len(), &news[1].word), (2, &Some(expected)));
+        let expected =
+            Announcement::Purge { object: None, group: 17, made_unix_ms: UnixTime(1764576000480.0) };
+        assert_eq!((response.len(), &response[1].announcement), (2, &Some(expected)));
     }
 }
 
 #[test]
 fn events_come_in_order_once_and_a_gap_is_asked_for_again() {
-    let mut follower = DiscoveryWatch::new(40, 1);
+    let mut client = DiscoveryClient::new(40, 1);
     let address = ([127, 0, 0, 1], 9092).into();
     let mut feed = |notices: &[String]| {
-        follower.poll(0.0, address);
-        let news = follower.feed(0.0, &answer(&events(notices)), false);
-        if news.is_err() {
-            follower.failed(0.0);
+        client.poll(0.0, address);
+        let response = client.feed(0.0, &answer(&events(notices)), false);
+        if response.is_err() {
+            client.poll_failed(0.0);
         }
-        news
+        response
     };
-    assert_eq!(revs(feed(&[purge(42), purge(41), purge(40)])), [41, 42]);
+    assert_eq!(revisions(feed(&[purge(42), purge(41), purge(40)])), [41, 42]);
     assert!(feed(&[purge(44)]).is_err(), "43 is missing");
-    assert_eq!(revs(feed(&[purge(43), purge(44)])), [43, 44]);
+    assert_eq!(revisions(feed(&[purge(43), purge(44)])), [43, 44]);
     // A gap that stays: then all is asked for anew.
     (0..4).for_each(|_| assert!(feed(&[purge(50)]).is_err()));
-    let asked = follower.poll(0.0, address);
+    let asked = client.poll(0.0, address);
     assert!(asked.starts_with(b"GET /board/poll?watch=0&"));
 }
 
 #[test]
 fn a_failed_poll_is_resumed_at_once_and_then_more_and_more_slowly() {
-    let mut follower = DiscoveryWatch::new(5, 1);
+    let mut client = DiscoveryClient::new(5, 1);
     let address = ([127, 0, 0, 1], 9092).into();
     let mut waits = Vec::new();
     for bad in
         ["HTTP/1.1 500 No\r\n\r\n", "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\n{]}!", "nonsense\r\n\r\n"]
     {
-        let asked = follower.poll(1000.0, address);
+        let asked = client.poll(1000.0, address);
         assert!(asked.starts_with(b"GET /board/poll?watch=5&"));
-        assert!(follower.feed(1000.0, bad.as_bytes(), false).is_err(), "{bad}");
-        follower.failed(1000.0);
-        waits.push(follower.due - 1000.0);
+        assert!(client.feed(1000.0, bad.as_bytes(), false).is_err(), "{bad}");
+        client.poll_failed(1000.0);
+        waits.push(client.next_poll_at - 1000.0);
     }
     assert!(waits[0] == 0.0 && waits[1] > 0.0 && waits[2] > waits[1] && waits[2] <= 500.0, "{waits:?}");
-    follower.poll(2000.0, address);
-    assert_eq!(follower.feed(2000.0, &answer(&events(&[])), false), Ok(Some(News::default())));
-    assert_eq!(follower.due, 2000.0, "and after an answer at once again");
+    client.poll(2000.0, address);
+    assert_eq!(client.feed(2000.0, &answer(&events(&[])), false), Ok(Some(PollResponse::default())));
+    assert_eq!(client.next_poll_at, 2000.0, "and after an answer at once again");
 }
 
 #[test]
 fn two_silences_in_a_row_are_over_before_what_the_board_says_counts_as_told() {
     // The platform's page: 7 s, whether it has come or not. Endpoints that drain get no second more in the settings.
-    let mut follower = DiscoveryWatch::new(5, 1);
+    let mut client = DiscoveryClient::new(5, 1);
     let address = ([127, 0, 0, 1], 9092).into();
     let mut now = 0.0;
     for _ in 0..2 {
-        follower.poll(now, address);
-        assert!(follower.waiting() && follower.due == now + LINGER_MS + POLL_SLACK_MS);
-        now = follower.due;
-        follower.failed(now);
-        now = follower.due;
+        client.poll(now, address);
+        assert!(client.poll_outstanding() && client.next_poll_at == now + LONG_POLL_MS + POLL_SLACK_MS);
+        now = client.next_poll_at;
+        client.poll_failed(now);
+        now = client.next_poll_at;
     }
     assert!(now < 6000.0, "the third is out by then: {now}");
 }
@@ -114,13 +117,13 @@
     // The board refuses all calls for 8 s, from one moment on.
     let mut calls: Vec<f64> = Vec::new();
     for seed in 0..300 {
-        let mut follower = DiscoveryWatch::new(5, seed);
-        follower.failed(0.0);
-        while follower.due < 8000.0 {
-            let now = follower.due;
+        let mut client = DiscoveryClient::new(5, seed);
+        client.poll_failed(0.0);
+        while client.next_poll_at < 8000.0 {
+            let now = client.next_poll_at;
             calls.push(now);
-            follower.poll(now, ([127, 0, 0, 1], 9092).into());
-            follower.failed(now);
+            client.poll(now, ([127, 0, 0, 1], 9092).into());
+            client.poll_failed(now);
         }
     }
     let most = (20..80).map(|at| f64::from(at) * 100.0);
@@ -129,9 +132,9 @@
     assert!(most < Some(130), "a hundredth of a second's calls each, not all at once: {most:?}");
     let mut moved: Vec<u64> = (0..300)
         .map(|seed| {
-            let mut follower = DiscoveryWatch::new(5, seed);
-            follower.moved(0.0);
-            (follower.due / 10.0) as u64
+            let mut client = DiscoveryClient::new(5, seed);
+            client.address_changed(0.0);
+            (client.next_poll_at / 10.0) as u64
         })
         .collect();
     moved.dedup();
@@ -140,12 +143,12 @@
 
 #[test]
 fn numbers_that_begin_anew_are_followed_and_the_whole_list_comes_as_one() {
-    let mut follower = DiscoveryWatch::new(9, 1);
+    let mut client = DiscoveryClient::new(9, 1);
     let address = ([127, 0, 0, 1], 9092).into();
-    follower.poll(0.0, address);
+    client.poll(0.0, address);
     let older = format!(r#"{{"rev":2,"notices":[{}]}}"#, purge(2));
-    assert_eq!(revs(follower.feed(0.0, &answer(&older), false)), [0; 0]);
-    assert!(follower.poll(0.0, address).starts_with(b"GET /board/poll?watch=0&"));
+    assert_eq!(revisions(client.feed(0.0, &answer(&older), false)), [0; 0]);
+    assert!(client.poll(0.0, address).starts_with(b"GET /board/poll?watch=0&"));
     let change = |rev: u64, name: &str, status: &str| {
         format!(
             r#"{{"rev":{rev},"pool":{{"endpoints":[{{"name":"{name}","address":"127.0.0.9:7001","status":"{status}"}}]}}}}"#
@@ -154,23 +157,28 @@
     let first = POOL.replace("\"rev\":41", "\"rev\":1");
     let all =
         [first, change(2, "s-1", "left"), purge(3), change(4, "s-2", "leaving"), change(5, "s-1", "active")];
-    let news = follower.feed(0.0, &answer(&events(&all)), false).expect("readable").expect("whole");
-    assert_eq!(news.notices.len(), 2, "a list and a purge: {news:?}");
-    let Some(Word::Pool { whole: true, machines }) = &news.notices[0].word else { panic!("{news:?}") };
+    let response = client.feed(0.0, &answer(&events(&all)), false).expect("readable").expect("whole");
+    assert_eq!(response.events.len(), 2, "a list and a purge: {response:?}");
+    let Some(Announcement::Pool { snapshot: true, machines }) = &response.events[0].announcement else {
+        panic!("{response:?}")
+    };
     let states: Vec<_> = machines.iter().map(|one| (one.name.as_str(), one.phase)).collect();
     assert_eq!(states, [("s-2", Phase::Draining), ("s-1", Phase::Serving)]);
-    assert!(follower.poll(0.0, address).starts_with(b"GET /board/poll?watch=5&"));
+    assert!(client.poll(0.0, address).starts_with(b"GET /board/poll?watch=5&"));
     // Later changes come one by one, and an empty list takes all away.
     let empty = r#"{"rev":7,"pool":{"snapshot":true,"endpoints":[]}}"#.to_owned();
-    let news = follower.feed(0.0, &answer(&events(&[change(6, "s-3", "active"), empty])), false);
-    let news = news.expect("readable").expect("whole").notices;
-    assert_eq!((news.len(), &news[1].word), (2, &Some(Word::Pool { whole: true, machines: vec![] })));
+    let response = client.feed(0.0, &answer(&events(&[change(6, "s-3", "active"), empty])), false);
+    let response = response.expect("readable").expect("whole").events;
+    assert_eq!(
+        (response.len(), &response[1].announcement),
+        (2, &Some(Announcement::Pool { snapshot: true, machines: vec![] }))
+    );
 }
 
 #[test]
 fn what_cannot_be_read_of_an_event_allows_nothing_and_more_than_was_asked_for_is_told() {
-    let mut follower = DiscoveryWatch::new(0, 1);
-    follower.poll(0.0, ([127, 0, 0, 1], 9092).into());
+    let mut client = DiscoveryClient::new(0, 1);
+    client.poll(0.0, ([127, 0, 0, 1], 9092).into());
     let entries = r#"{"name":"s-1","address":"127.0.0.9:7001","status":"resting"},{"name":"s-2","status":"active"},
         {"status":"active"}"#;
     let list = [
@@ -181,14 +189,17 @@
     ];
     let mut bytes = answer(&events(&list));
     bytes.push(b'H');
-    let news = follower.feed(0.0, &bytes, false).expect("readable").expect("whole");
-    assert!(news.stray);
-    assert_eq!(news.doubts.len(), 4, "no more of them: {:?}", news.doubts);
-    let Some(Word::Pool { whole: true, machines }) = &news.notices[0].word else { panic!("{news:?}") };
+    let response = client.feed(0.0, &bytes, false).expect("readable").expect("whole");
+    assert!(response.unexpected_data);
+    assert_eq!(response.problems.len(), 4, "no more of them: {:?}", response.problems);
+    let Some(Announcement::Pool { snapshot: true, machines }) = &response.events[0].announcement else {
+        panic!("{response:?}")
+    };
     assert!(machines.len() == 2 && machines.iter().all(|one| one.phase == Phase::Draining));
-    let now = Word::Purge { object: Some("a".into()), group: 0, made_unix_ms: UnixTime(f64::INFINITY) };
-    assert_eq!(news.notices[1].word, Some(now), "one of now");
-    assert_eq!((&news.notices[2].word, &news.notices[3].word), (&None, &None));
+    let now =
+        Announcement::Purge { object: Some("a".into()), group: 0, made_unix_ms: UnixTime(f64::INFINITY) };
+    assert_eq!(response.events[1].announcement, Some(now), "one of now");
+    assert_eq!((&response.events[2].announcement, &response.events[3].announcement), (&None, &None));
 }
 
 fn config(change: impl Fn(String) -> String) -> Result<Config, String> {
@@ -208,8 +219,11 @@
 fn the_nested_settings_are_read_as_the_simulators_pairs_are() {
     let config = config(|json| json).expect("a good config");
     let settings = &config.settings;
-    assert_eq!((config.name.as_str(), config.seed, config.rev), ("n3", 0x8c1f_30d2_7a5b_e964, 41));
-    assert_eq!((config.known.len(), config.net.dial_timeout_ms, config.net.sockets), (1, 300.0, 1024));
+    assert_eq!((config.name.as_str(), config.seed, config.known_rev), ("n3", 0x8c1f_30d2_7a5b_e964, 41));
+    assert_eq!(
+        (config.known_events.len(), config.net.dial_timeout_ms, config.net.max_descriptors),
+        (1, 300.0, 1024)
+    );
     assert_eq!(settings.parent_kind, Some("parent".into()));
     assert_eq!((settings.limits.max_attempts, settings.limits.cancelling), (6, true));
     let [page, swap] = &settings.classes[..] else { panic!("{settings:?}") };
@@ -220,7 +234,7 @@
 #[test]
 fn settings_that_are_missing_or_say_unknown_words_are_told_with_what_stands_instead() {
     let good = config(|json| json).expect("a good config");
-    let [missing] = &good.remarks[..] else { panic!("{:?}", good.remarks) };
+    let [missing] = &good.warnings[..] else { panic!("{:?}", good.warnings) };
     assert!(
         missing.starts_with("missing, defaults stand: ") && missing.contains("Guarantees.ColdMs"),
         "{missing}"
@@ -244,9 +258,13 @@
         "RequestClasses.0.DedupWindowMs",
         "Limits.MostTries",
     ] {
-        assert!(changed.remarks.iter().any(|remark| remark.contains(told)), "{told}: {:?}", changed.remarks);
+        assert!(
+            changed.warnings.iter().any(|warning| warning.contains(told)),
+            "{told}: {:?}",
+            changed.warnings
+        );
     }
-    assert!(!changed.remarks.iter().any(|remark| remark.contains("NewKey")), "further keys may be added");
+    assert!(!changed.warnings.iter().any(|warning| warning.contains("NewKey")), "further keys may be added");
     assert_eq!(changed.settings.classes[1].repeat, Repeat::Fragile);
     assert_eq!(changed.settings.limits.max_attempts, 1, "none at all would serve nobody");
 }
--- a/tests/operator.rs
+++ b/tests/operator.rs
@@ -20,10 +20,10 @@
     assert_eq!(plugins, [("photos", 0), ("full", 1)]);
     assert_eq!(operator.plugins[0].settings_text(), "group 12\n");
     let rules = operator.addresses.expect("on");
-    assert_eq!(rules.order, [Family::Unix, Family::Ipv6, Family::Ipv4]);
-    assert_eq!((rules.attempt_delay, rules.pause), ((20.0, 80.0), (250.0, 30_000.0)));
+    assert_eq!(rules.family_order, [Family::Unix, Family::Ipv6, Family::Ipv4]);
+    assert_eq!((rules.attempt_delay_ms, rules.pause_ms), ((20.0, 80.0), (250.0, 30_000.0)));
     let ways = &rules.machines["s-00c41f7a"];
-    assert_eq!(ways.iter().map(Endpoint::family).collect::<Vec<_>>(), rules.order);
+    assert_eq!(ways.iter().map(Endpoint::family).collect::<Vec<_>>(), rules.family_order);
     assert_eq!(Operator::read(b"(frostturn)"), Ok(Operator::default()), "nothing is on by itself");
 }
 
--- a/tests/ops.rs
+++ b/tests/ops.rs
@@ -5,7 +5,7 @@
 use common::listed;
 use frostturn::api::Phase;
 use frostturn::clock::{BootTime, UnixTime};
-use frostturn::discovery::{Notice, Word};
+use frostturn::discovery::{Announcement, DiscoveryEvent};
 use frostturn::handover::{Now, State};
 use frostturn::ops::{Call, Verdict};
 use frostturn::reducer::{Ask, Client, Effect, Input, Reducer};
@@ -71,9 +71,9 @@
     saved: State,
 }
 
-fn whole() -> Notice {
+fn whole() -> DiscoveryEvent {
     let machines = NAMES.iter().chain(&["o0"]).map(|name| listed(name, kind(name), Phase::Serving)).collect();
-    Notice { rev: 1, word: Some(Word::Pool { whole: true, machines }) }
+    DiscoveryEvent { rev: 1, announcement: Some(Announcement::Pool { snapshot: true, machines }) }
 }
 
 impl Process {
@@ -132,7 +132,10 @@
                         _ => process.known.insert(NAMES[at]),
                     };
                     let machines = vec![listed(NAMES[at], "edge", phase)];
-                    let notice = Notice { rev: 1, word: Some(Word::Pool { whole: false, machines }) };
+                    let notice = DiscoveryEvent {
+                        rev: 1,
+                        announcement: Some(Announcement::Pool { snapshot: false, machines }),
+                    };
                     process.step(now, Input::Notice { notice, unix: NOW.unix })
                 }
                 Step::Whole => {
@@ -227,7 +230,7 @@
         for (at, part) in parts.iter().enumerate() {
             let mut reducer =
                 Reducer::new(common::settings(), common::net(), 7 + at as u64, 0.0, UnixTime(UNIX_MS));
-            let cold = |name| frostturn::discovery::Listed {
+            let cold = |name| frostturn::discovery::ListedMachine {
                 since_unix_ms: Some(UnixTime(UNIX_MS)),
                 weight: 4.0,
                 ..listed(name, kind(name), Phase::Serving)
@@ -237,7 +240,10 @@
                 listed("e1", "edge", Phase::Serving),
                 listed("o0", "origin", Phase::Serving),
             ];
-            let notice = Notice { rev: 1, word: Some(Word::Pool { whole: true, machines }) };
+            let notice = DiscoveryEvent {
+                rev: 1,
+                announcement: Some(Announcement::Pool { snapshot: true, machines }),
+            };
             reducer.step(0.0, Input::Notice { notice, unix: UnixTime(UNIX_MS) });
             reducer.step(0.0, Input::ColdPart(*part));
             for serial in (1..=2000).filter(|serial| serial % parts.len() as u64 == at as u64) {
--- a/tests/plugins.rs
+++ b/tests/plugins.rs
@@ -5,7 +5,7 @@
 use common::listed;
 use frostturn::api::{CacheId, ClassSettings, Keep, Limits, Phase, Repeat, Settings};
 use frostturn::clock::UnixTime;
-use frostturn::discovery::{Listed, Notice, Word};
+use frostturn::discovery::{Announcement, DiscoveryEvent, ListedMachine};
 use frostturn::plugins::engine::{Fault, Hook, Instance};
 use frostturn::plugins::guard::{self, Allowed};
 use frostturn::plugins::{Loaded, Spec};
@@ -264,8 +264,9 @@
         rig
     }
 
-    fn list(&mut self, whole: bool, machines: Vec<Listed>) {
-        let notice = Notice { rev: 1, word: Some(Word::Pool { whole, machines }) };
+    fn list(&mut self, whole: bool, machines: Vec<ListedMachine>) {
+        let notice =
+            DiscoveryEvent { rev: 1, announcement: Some(Announcement::Pool { snapshot: whole, machines }) };
         self.step(Input::Notice { notice, unix: UnixTime(1e12 + self.now) });
     }
 
--- a/tests/reducer.rs
+++ b/tests/reducer.rs
@@ -5,8 +5,8 @@
 use common::{entry, settings, START_MS};
 use frostturn::api::*;
 use frostturn::clock::UnixTime;
-use frostturn::config::Net;
-use frostturn::discovery::{Listed, Notice, Word};
+use frostturn::config::NetworkSettings;
+use frostturn::discovery::{Announcement, DiscoveryEvent, ListedMachine};
 use frostturn::reasons::{Refusal, Withheld};
 use frostturn::reducer::*;
 use frostturn::runtime::Inbox;
@@ -22,22 +22,22 @@
     rev: u64,
 }
 
-fn listed(name: &str, kind: &str, zone: &str, phase: Phase, since_unix_ms: Option<Millis>) -> Listed {
+fn listed(name: &str, kind: &str, zone: &str, phase: Phase, since_unix_ms: Option<Millis>) -> ListedMachine {
     let since_unix_ms = since_unix_ms.map(UnixTime);
     let entry = entry(name, kind, zone);
     let address = ([127, 0, 0, 1], 7000 + name.len() as u16).into();
     let (name, cell, weight) = (name.to_owned(), entry.cell, entry.rating);
-    Listed { name, address, zone: entry.zone, kind: entry.kind, cell, weight, phase, since_unix_ms }
+    ListedMachine { name, address, zone: entry.zone, kind: entry.kind, cell, weight, phase, since_unix_ms }
 }
 
-fn net() -> Net {
-    Net {
+fn net() -> NetworkSettings {
+    NetworkSettings {
         dial_timeout_ms: 400.0,
         idle_ms: 30_000.0,
-        streams: 100,
-        max_open: 50,
-        memory: 4_000_000,
-        sockets: 1024,
+        streams_per_connection: 100,
+        max_open_requests: 50,
+        memory_bytes: 4_000_000,
+        max_descriptors: 1024,
         flow_bytes_per_s: None,
     }
 }
@@ -51,7 +51,7 @@
         let rest = [("parent", "hub", "p1"), ("parent", "hub", "p2"), ("origin", "hub", "o1")];
         let all = edges.into_iter().chain(rest);
         let machines = all.map(|(kind, zone, name)| listed(name, kind, zone, Phase::Serving, None)).collect();
-        rig.word(Word::Pool { whole: true, machines });
+        rig.word(Announcement::Pool { snapshot: true, machines });
         assert!(rig.reducer.ready());
         rig
     }
@@ -60,9 +60,9 @@
         self.reducer.step(self.now, input)
     }
 
-    fn word(&mut self, word: Word) -> Vec<Effect> {
+    fn word(&mut self, word: Announcement) -> Vec<Effect> {
         self.rev += 1;
-        let notice = Notice { rev: self.rev, word: Some(word) };
+        let notice = DiscoveryEvent { rev: self.rev, announcement: Some(word) };
         let unix_ms = UNIX_MS + self.now - START_MS;
         self.step(Input::Notice { notice, unix: UnixTime(unix_ms) })
     }
@@ -198,10 +198,10 @@
         let mut rig = Rig::new();
         let mut settings = settings();
         settings.limits.second_copies = second_copies;
-        let net = Net { dial_timeout_ms: 2000.0, ..net() };
+        let net = NetworkSettings { dial_timeout_ms: 2000.0, ..net() };
         rig.reducer = Reducer::new(settings, net, 1, START_MS, UnixTime(UNIX_MS));
         let machines = ["e1", "e2"].map(|name| listed(name, "edge", "east", Phase::Serving, None)).into();
-        rig.word(Word::Pool { whole: true, machines });
+        rig.word(Announcement::Pool { snapshot: true, machines });
         let written = |rig: &mut Rig| {
             let (attempt, fetch) = sent(&rig.ask("read", 3000.0));
             rig.step(Input::Progressed { attempt, progress: Progress::WrittenWhole });
@@ -221,7 +221,7 @@
         rig.lost(second, Progress::WrittenWhole);
         let other = if fetch.cache == "e1".into() { "e2" } else { "e1" };
         let machines = vec![listed(other, "edge", "east", Phase::Draining, None)];
-        rig.word(Word::Pool { whole: false, machines });
+        rig.word(Announcement::Pool { snapshot: false, machines });
         rig.step(Input::Aborted { client: rig.client() });
         let after = rig.wait(100.0);
         assert!(!after.iter().any(|effect| matches!(effect, Effect::Send { .. })), "{after:?}");
@@ -264,7 +264,7 @@
             false => (fetch.cache.as_str(), "edge", "east"),
         };
         let machines = vec![listed(name, kind, zone, Phase::Draining, None)];
-        let effects = rig.word(Word::Pool { whole: false, machines });
+        let effects = rig.word(Announcement::Pool { snapshot: false, machines });
         assert!(
             has(&effects, &Effect::Stop { attempt })
                 && has(&effects, &Effect::Retire { member: name.into() })
@@ -278,7 +278,7 @@
     let (attempt, fetch) = sent(&rig.ask("read", 4000.0));
     rig.step(Input::Progressed { attempt, progress: Progress::PartlyWritten });
     let machines = vec![listed(fetch.cache.as_str(), "edge", "east", Phase::Deleted, None)];
-    assert!(!has(&rig.word(Word::Pool { whole: false, machines }), &Effect::Stop { attempt }));
+    assert!(!has(&rig.word(Announcement::Pool { snapshot: false, machines }), &Effect::Stop { attempt }));
 }
 
 #[test]
@@ -306,7 +306,7 @@
     let mut rig = Rig::new();
     let start = |rig: &mut Rig, since: Option<Millis>| {
         let machines = vec![listed("e1", "edge", "east", Phase::Serving, since)];
-        let effects = rig.word(Word::Pool { whole: false, machines });
+        let effects = rig.word(Announcement::Pool { snapshot: false, machines });
         effects.iter().filter(|effect| matches!(effect, Effect::Reborn { .. })).count()
     };
     let since = UNIX_MS + 1234.5;
@@ -314,7 +314,7 @@
     assert_eq!(counts, [0, 1, 0, 1]);
     // What a whole list doesn't hold is gone.
     let machines = vec![listed("e2", "edge", "east", Phase::Serving, None)];
-    let effects = rig.word(Word::Pool { whole: true, machines });
+    let effects = rig.word(Announcement::Pool { snapshot: true, machines });
     assert!(has(&effects, &Effect::Retire { member: "e1".into() }));
     assert!(!has(&effects, &Effect::Retire { member: "e2".into() }));
 }
@@ -326,7 +326,7 @@
     for at in 0..300 {
         for phase in [Phase::Serving, Phase::Deleted] {
             let machines = vec![listed(&format!("s{at}"), "edge", "east", phase, None)];
-            rig.word(Word::Pool { whole: false, machines });
+            rig.word(Announcement::Pool { snapshot: false, machines });
         }
         rig.now += 1000.0;
     }
@@ -338,7 +338,7 @@
     let mut rig = Rig::new();
     rig.now += 1000.0;
     let made_unix_ms = UnixTime(UNIX_MS + 400.0);
-    rig.word(Word::Purge { object: Some("song".into()), group: 0, made_unix_ms });
+    rig.word(Announcement::Purge { object: Some("song".into()), group: 0, made_unix_ms });
     let (_, fetch) = sent(&rig.ask("read", 4000.0));
     assert!(fetch.max_age_ms.is_some_and(|age| age > 500.0 && age < 600.0), "{fetch:?}");
 }
@@ -444,8 +444,8 @@
                     let name = ["e1", "e2", "e3"][chance(3) as usize];
                     let phase = [Phase::Serving, Phase::Draining, Phase::Deleted][chance(3) as usize];
                     let since = Some(UNIX_MS + chance(9000) as f64);
-                    rig.word(Word::Pool {
-                        whole: false,
+                    rig.word(Announcement::Pool {
+                        snapshot: false,
                         machines: vec![listed(name, "edge", "east", phase, since)],
                     })
                 }
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -7,7 +7,7 @@
 use common::{listed, net, START_MS};
 use frostturn::api::*;
 use frostturn::clock::UnixTime;
-use frostturn::discovery::{Listed, Notice, Word};
+use frostturn::discovery::{Announcement, DiscoveryEvent, ListedMachine};
 use frostturn::reasons::Withheld;
 use frostturn::reducer::*;
 use quickcheck::{Arbitrary, Gen, QuickCheck};
@@ -266,7 +266,7 @@
         purges: Vec::new(),
         broken: Vec::new(),
     };
-    let machine = |end: &(&str, &str, &str), phase| Listed {
+    let machine = |end: &(&str, &str, &str), phase| ListedMachine {
         zone: end.2.into(),
         cell: cell(end.0),
         ..listed(end.0, end.1, phase)
@@ -274,14 +274,15 @@
     let (mut rev, mut serial) = (1, 0);
     let list = ENDS.iter().map(|end| machine(end, Phase::Serving)).collect();
     check.phases.extend(ENDS.iter().map(|end| (end.0.to_owned(), Phase::Serving)));
-    let word = Some(Word::Pool { whole: true, machines: list });
-    let mut inputs = vec![Input::Notice { notice: Notice { rev, word }, unix: UnixTime(UNIX_MS) }];
+    let announcement = Some(Announcement::Pool { snapshot: true, machines: list });
+    let mut inputs =
+        vec![Input::Notice { notice: DiscoveryEvent { rev, announcement }, unix: UnixTime(UNIX_MS) }];
     for step in 0..STEPS {
         check.now = START_MS + step as f64 * STEP_MS;
         let unix = UnixTime(UNIX_MS + check.now - START_MS);
-        let tells = |rev: &mut u64, word| {
+        let tells = |rev: &mut u64, announcement| {
             *rev += 1;
-            Input::Notice { notice: Notice { rev: *rev, word: Some(word) }, unix }
+            Input::Notice { notice: DiscoveryEvent { rev: *rev, announcement: Some(announcement) }, unix }
         };
         let out: Vec<AttemptKey> =
             check.tried.iter().filter(|(_, tried)| tried.over.is_none()).map(|(key, _)| *key).collect();
@@ -358,14 +359,14 @@
                     [Phase::Serving, Phase::Serving, Phase::Draining, Phase::Deleted][chance(4) as usize];
                 check.phases.insert(end.0.to_owned(), phase);
                 let since_unix_ms = (chance(3) == 0).then_some(unix);
-                let machines = vec![Listed { since_unix_ms, ..machine(end, phase) }];
-                inputs.push(tells(&mut rev, Word::Pool { whole: false, machines }));
+                let machines = vec![ListedMachine { since_unix_ms, ..machine(end, phase) }];
+                inputs.push(tells(&mut rev, Announcement::Pool { snapshot: false, machines }));
             }
             (16, _) => {
                 let object = (chance(2) == 0).then(|| format!("o{}", chance(6)));
                 let group = chance(3);
                 check.purges.push((object.clone(), group, check.now));
-                inputs.push(tells(&mut rev, Word::Purge { object, group, made_unix_ms: unix }));
+                inputs.push(tells(&mut rev, Announcement::Purge { object, group, made_unix_ms: unix }));
             }
             _ => {}
         }
