--- a/src/runtime/socket.rs
+++ b/src/runtime/socket.rs
@@ -1,8 +1,8 @@
 //! One socket in the loop, and how to make one.
 
 use super::{Runtime, Source};
-use crate::addresses::{Endpoint, Failure};
-use crate::back::DialEnd;
+use crate::addresses::{Endpoint, EndpointFailure};
+use crate::back::DialError;
 use crate::errno::{self, ErrorClass};
 use calloop::generic::Generic;
 use calloop::{Interest, LoopHandle, Mode, PostAction, Readiness, RegistrationToken};
@@ -92,15 +92,17 @@
 }
 
 /// What it says of a path that its dial has ended with an error, at once or later.
-pub(super) fn dial_end(endpoint: &Endpoint, error: &io::Error) -> DialEnd {
+pub(super) fn dial_end(endpoint: &Endpoint, error: &io::Error) -> DialError {
     match (errno::classify(error), endpoint) {
-        (ErrorClass::Shortage | ErrorClass::Interrupted, _) => DialEnd::NoRoom,
+        (ErrorClass::Shortage | ErrorClass::Interrupted, _) => DialError::NoRoom,
         // A Unix socket's connect says so where the peer's queue is full, any other's where ports are short.
-        (ErrorClass::WouldBlock, Endpoint::Unix(_)) => DialEnd::Failed(Failure::Refused),
-        (ErrorClass::WouldBlock, Endpoint::Tcp(_)) => DialEnd::NoRoom,
-        (ErrorClass::Unreachable, _) => DialEnd::Unreachable,
-        (ErrorClass::Peer, _) if error.kind() == ErrorKind::TimedOut => DialEnd::Failed(Failure::NotUp),
-        (ErrorClass::Peer, _) => DialEnd::Failed(Failure::Refused),
+        (ErrorClass::WouldBlock, Endpoint::Unix(_)) => DialError::Failed(EndpointFailure::Refused),
+        (ErrorClass::WouldBlock, Endpoint::Tcp(_)) => DialError::NoRoom,
+        (ErrorClass::Unreachable, _) => DialError::Unreachable,
+        (ErrorClass::Peer, _) if error.kind() == ErrorKind::TimedOut => {
+            DialError::Failed(EndpointFailure::NotUp)
+        }
+        (ErrorClass::Peer, _) => DialError::Failed(EndpointFailure::Refused),
     }
 }
 
