--- a/src/bin/frostturn-simhost/main.rs
+++ b/src/bin/frostturn-simhost/main.rs
@@ -1,5 +1,5 @@
-//! Hosts routers on the simulator's wire: reads batches of events on standard input, gives each
-//! instance its own, and writes one reply a batch.
+//! Runs routers under the simulator: reads batches of events from standard input, passes each event to its
+//! router instance, and writes one reply per batch to standard output.
 
 #![forbid(unsafe_code)]
 
@@ -13,59 +13,65 @@
 use std::process::ExitCode;
 use wire::Fields;
 
-/// One router and the names of its classes, which the wire uses in place of their numbers.
+/// A router and the indices of its classes, which the protocol refers to by name.
 struct Instance {
     router: Router,
     classes: HashMap<String, usize>,
 }
 
-/// An inventory page, and how many of its rows are still to come.
+/// The inventory page that is being read, and the number of its rows that are still to come.
 #[derive(Default)]
-struct Page {
+struct OpenPage {
     number: u64,
-    rows_to_come: u64,
+    rows_left: u64,
 }
 
+/// All router instances, the inventory pages, and the reply to the current batch.
 #[derive(Default)]
 struct Host {
-    now: f64,
+    now_ms: f64,
     instances: BTreeMap<u64, Instance>,
     pages: HashMap<u64, Vec<ListEntry>>,
-    filling: Page,
+    open_page: OpenPage,
     actions: Vec<Action>,
     reply: String,
 }
 
 impl Host {
-    /// Reads one line; true at the end of a batch, when the reply is complete.
-    fn line(&mut self, line: &str) -> Result<bool, Fault> {
+    /// Handles one line. Returns true at the end of a batch, when the reply is complete.
+    fn handle_line(&mut self, line: &str) -> Result<bool, Fault> {
         let mut fields = Fields::new(line);
         let Some(name) = fields.optional() else { return Ok(false) };
         match name {
-            "BATCH" => self.now = fields.number("AtTimeMs")?,
+            "BATCH" => self.now_ms = fields.number("AtTimeMs")?,
             "COMMIT" => {
                 self.reply.push_str("YIELD\n");
                 return Ok(true);
             }
             "INVENTORY" => {
-                self.filling = Page { number: fields.whole("Page")?, rows_to_come: fields.whole("Entries")? };
-                self.pages.insert(self.filling.number, Vec::new());
+                self.open_page =
+                    OpenPage { number: fields.whole("Page")?, rows_left: fields.whole("Entries")? };
+                self.pages.insert(self.open_page.number, Vec::new());
             }
             "ROW" => {
-                if self.filling.rows_to_come == 0 {
+                if self.open_page.rows_left == 0 {
                     return Err("a row outside an inventory".to_owned());
                 }
-                self.filling.rows_to_come -= 1;
+                self.open_page.rows_left -= 1;
                 let entry = wire::row(fields)?;
-                self.pages.entry(self.filling.number).or_default().push(entry);
+                self.pages.entry(self.open_page.number).or_default().push(entry);
             }
             "SPAWN" => {
                 let number = fields.whole("I")?;
                 let seed = fields.whole("InitSeed")?;
                 let settings = wire::settings(fields)?;
-                let classes =
-                    settings.classes.iter().enumerate().map(|(at, class)| (class.name.clone(), at)).collect();
-                let router = Router::new(settings, seed, self.now);
+                let classes = settings
+                    .classes
+                    .iter()
+                    .enumerate()
+                    .map(|(index, class)| (class.name.clone(), index))
+                    .collect();
+                let router = Router::new(settings, seed, self.now_ms);
                 self.instances.insert(number, Instance { router, classes });
             }
             "DOWN" => {
@@ -75,14 +81,14 @@
                 let number = fields.whole("I")?;
                 let (mode, page) = wire::membership(fields)?;
                 let entries = page.and_then(|page| self.pages.get(&page)).cloned().unwrap_or_default();
-                self.handle(number, Event::List { mode, entries });
+                self.handle_event(number, Event::List { mode, entries });
             }
             "CALL" | "RESULT" | "WAKE" | "FIRST" | "DROPPED" | "ECHO" | "OUTDATED" => {
                 let number = fields.whole("I")?;
                 let Some(instance) = self.instances.get(&number) else { return Ok(false) };
                 let class = |name: &str| instance.classes.get(name).copied().unwrap_or(usize::MAX);
                 if let Some(event) = wire::event(name, fields, class)? {
-                    self.handle(number, event);
+                    self.handle_event(number, event);
                 }
             }
             _ => {}
@@ -90,9 +96,10 @@
         Ok(false)
     }
 
-    fn handle(&mut self, number: u64, event: Event) {
+    /// Passes an event to an instance and appends its actions to the reply.
+    fn handle_event(&mut self, number: u64, event: Event) {
         let Some(instance) = self.instances.get_mut(&number) else { return };
-        instance.router.handle(self.now, event, &mut self.actions);
+        instance.router.handle(self.now_ms, event, &mut self.actions);
         for action in self.actions.drain(..) {
             wire::action(&mut self.reply, number, &action);
         }
@@ -106,16 +113,16 @@
     let mut bytes = Vec::new();
     for number in 1_u64.. {
         bytes.clear();
-        if input.read_until(b'\n', &mut bytes).map_err(|e| format!("reading: {e}"))? == 0 {
+        if input.read_until(b'\n', &mut bytes).map_err(|e| format!("cannot read standard input: {e}"))? == 0 {
             break;
         }
-        let text = std::str::from_utf8(&bytes).map_err(|_| format!("line {number}: not UTF-8"))?;
+        let text = std::str::from_utf8(&bytes).map_err(|_| format!("line {number}: not valid UTF-8"))?;
         let line = text.trim_end_matches(['\n', '\r']);
-        if host.line(line).map_err(|reason| format!("line {number}: {reason}"))? {
+        if host.handle_line(line).map_err(|reason| format!("line {number}: {reason}"))? {
             output
                 .write_all(host.reply.as_bytes())
                 .and_then(|()| output.flush())
-                .map_err(|e| format!("writing: {e}"))?;
+                .map_err(|e| format!("cannot write to standard output: {e}"))?;
             host.reply.clear();
         }
     }
--- a/src/bin/frostturn-simhost/wire.rs
+++ b/src/bin/frostturn-simhost/wire.rs
@@ -1,18 +1,20 @@
-//! The simulator's wire: lines to events, actions to lines. No decision is taken here.
+//! The simulator's line protocol: parses lines into events and formats actions as lines. No decision is made
+//! here.
 
 use frostturn::api::*;
 use frostturn::config::{self, number, Fault};
 use std::fmt::Write;
 
-/// The fields of one line, taken from left to right.
+/// The tab-separated fields of one line, read from left to right.
 pub struct Fields<'a>(std::str::Split<'a, char>);
 
 impl<'a> Fields<'a> {
+    /// Returns the fields of a line, none of them read yet.
     pub fn new(line: &'a str) -> Self {
         Self(line.split('\t'))
     }
 
-    /// The next field; `None` where it is absent.
+    /// Returns the next field; `None` where it is absent, empty or `-`.
     pub fn optional(&mut self) -> Option<&'a str> {
         self.0.next().filter(|text| !text.is_empty() && *text != "-")
     }
@@ -21,6 +23,7 @@
         self.optional().ok_or_else(|| format!("{what} is missing"))
     }
 
+    /// Returns the next field as a whole number. `what` names the field in errors.
     pub fn whole(&mut self, what: &str) -> Result<u64, Fault> {
         whole(self.required(what)?, what)
     }
@@ -29,6 +32,7 @@
         self.optional().map_or(Ok(0), |text| whole(text, what))
     }
 
+    /// Returns the next field as a number. `what` names the field in errors.
     pub fn number(&mut self, what: &str) -> Result<f64, Fault> {
         number(self.required(what)?, what)
     }
@@ -37,7 +41,7 @@
         self.optional().map(|text| number(text, what)).transpose()
     }
 
-    /// A name or id that may be absent, written as `-` or 0.
+    /// Returns a name or an id that may be absent, which is written as `-` or 0.
     fn name_or_none(&mut self) -> Option<&'a str> {
         self.optional().filter(|text| *text != "0")
     }
@@ -88,14 +92,14 @@
     for pair in text.unwrap_or_default().split(',').filter(|pair| !pair.is_empty()) {
         let (name, value) =
             pair.split_once(':').or_else(|| pair.split_once('=')).ok_or("a report value has no name")?;
-        if let Some(slot) = config::report_value(&mut report, name) {
-            *slot = Some(number(value, name)?);
+        if let Some(target) = config::report_value(&mut report, name) {
+            *target = Some(number(value, name)?);
         }
     }
     Ok(report)
 }
 
-/// Reads one `ROW` line of an inventory, its name taken off already.
+/// Parses one `ROW` line of an inventory, after its name.
 pub fn row(mut fields: Fields) -> Result<ListEntry, Fault> {
     let kind = fields.optional().unwrap_or_default().into();
     let cell = fields.whole_or_zero("Block")?;
@@ -112,7 +116,7 @@
     Ok(ListEntry { cache, kind, cell, zone, weight, phase, online_since })
 }
 
-/// Reads the mode and the page of a `MEMBERSHIP` line.
+/// Parses the mode and the page number of a `MEMBERSHIP` line.
 pub fn membership(mut fields: Fields) -> Result<(ListMode, Option<u64>), Fault> {
     let mode = match fields.required("Mode")? {
         "incr" => ListMode::Changes,
@@ -126,7 +130,7 @@
     Ok((mode, page))
 }
 
-/// Reads an event other than a list; `None` for a message that is not known.
+/// Parses an event other than a list; `None` if the name is unknown.
 pub fn event(name: &str, mut fields: Fields, class: impl Fn(&str) -> usize) -> Result<Option<Event>, Fault> {
     Ok(Some(match name {
         "CALL" => Event::Request(ClientRequest {
@@ -150,7 +154,7 @@
             cache_status: cache_status(fields.whole_or_zero("Note")?),
             source_ttfb_ms: fields.number_or_none("SourceWaitMs")?,
             report: report(fields.optional())?,
-            size_kb: None, // Bytes aren't counted there.
+            size_kb: None, // The simulator does not count bytes.
         }),
         "FIRST" => {
             Event::Started { id: fields.required("Xid")?.into(), attempt: fields.whole("Go")? as usize }
@@ -172,14 +176,14 @@
     }))
 }
 
-/// Reads the pairs of a `SPAWN` line.
+/// Parses the settings of a `SPAWN` line.
 pub fn settings(fields: Fields) -> Result<Settings, Fault> {
     config::settings(&fields.0.filter_map(|pair| pair.split_once('=')).collect())
 }
 
-/// Writes one action of an instance as a line.
+/// Appends one action of an instance as a line.
 pub fn action(out: &mut String, instance: u64, action: &Action) {
-    // Writing to a `String` cannot fail.
+    // Writing to a `String` does not fail.
     let _ = match action {
         Action::Fetch(fetch) => {
             let how = u8::from(fetch.join)
