--- a/tests/adapter.rs
+++ b/tests/adapter.rs
@@ -1,4 +1,4 @@
-//! The adapter as a process on well-formed, odd and malformed input.
+//! Runs the simulator adapter as a process on well-formed, unusual and malformed input.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
@@ -10,10 +10,10 @@
         .stderr(Stdio::piped())
         .spawn()
         .expect("the adapter starts");
-    let mut stdin = child.stdin.take().expect("its input is piped");
+    let mut stdin = child.stdin.take().expect("the adapter's input is piped");
     let text = input.to_owned();
     let writer = std::thread::spawn(move || {
-        // It may stop reading at a malformed line.
+        // The write fails if the adapter stops reading at a malformed line.
         let _ = stdin.write_all(text.as_bytes());
     });
     let output = child.wait_with_output().expect("the adapter ends");
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn pages_are_read_in_order_and_a_restart_in_one_batch_forgets() {
+fn reused_pages_are_read_in_order_and_a_restarted_instance_has_no_old_requests() {
     let reuse =
         "BATCH\t15.0\nINVENTORY\t0\t1\nROW\tbox\t0\teast\t1\tSERVING\t-\tb\nMEMBERSHIP\t3\ttotal\t2\t0\n\
         INVENTORY\t0\t1\nROW\tbox\t0\teast\t1\tSERVING\t-\tc\nMEMBERSHIP\t4\ttotal\t2\t0\nCOMMIT\n";
@@ -60,7 +60,7 @@
     let stale = "BATCH\t40.0\nRESULT\t3\tq\t0\ta\t500\t4.0\t0\t-\t-\t-\nCOMMIT\n";
     let output = run(&format!("{}{}{again}{stale}", start(3), call(3, "q")));
     let text = String::from_utf8_lossy(&output.stdout).into_owned();
-    assert_eq!(text.matches("\tq\t").count(), 1, "the request died with its instance: {text}");
+    assert_eq!(text.matches("\tq\t").count(), 1, "the request is dropped with its instance: {text}");
 }
 
 #[test]
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn a_malformed_line_ends_it_with_its_number_and_reason() {
+fn a_malformed_line_ends_the_adapter_with_the_line_number_and_the_reason() {
     for (line, reason) in [
         ("CALL\t3\tq\t0\tpage\tmany", "VolumeKb"),
         ("RESULT\t3\tq\t0\ta\t299\t1.0\t0", "unknown outcome 299"),
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,20 +1,22 @@
-//! One small driver for the module's tests: a location with caches, parents and an origin.
+//! Fixtures of the router's tests: a location with caches, parents and an origin, and a driver for a router.
 
-#![allow(dead_code)] // Each test file uses its part.
+#![allow(dead_code)] // Each test file uses only some of them.
 
 use frostturn::api::*;
 use frostturn::board::Listed;
 use frostturn::config::Net;
 use frostturn::Router;
 
-/// Clocks start anywhere.
+/// The clock at a driver's start: any value, since a router must not depend on it.
 pub const START_MS: Millis = 700_000_000.0;
 
+/// Classes of the settings, by index.
 pub const READ: usize = 0;
 pub const PAGE: usize = 1;
 pub const KEYED: usize = 2;
 pub const FRAGILE: usize = 3;
 
+/// Settings with the four classes, two routers and everything allowed but bypass, hedging and probes.
 pub fn settings() -> Settings {
     let class = |name: &str, repeat| ClassSettings {
         name: name.into(),
@@ -69,6 +71,7 @@
     }
 }
 
+/// A machine that has been online for long, with a link for eight transfers.
 pub fn entry(cache: &str, kind: &str, zone: &str) -> ListEntry {
     ListEntry {
         cache: cache.into(),
@@ -81,7 +84,8 @@
     }
 }
 
-pub fn fleet() -> Vec<ListEntry> {
+/// Four edge caches in the router's zone, one in another, two parents and the origin.
+pub fn machines() -> Vec<ListEntry> {
     let mut list: Vec<_> = ["e1", "e2", "e3", "e4"].map(|name| entry(name, "edge", "east")).into();
     list.push(entry("w1", "edge", "west"));
     list.extend(["p1", "p2"].map(|name| entry(name, "parent", "hub")));
@@ -89,6 +93,7 @@
     list
 }
 
+/// A router with its clock, the number of requests so far, and its log lines.
 pub struct Driver {
     pub router: Router,
     pub now: Millis,
@@ -97,22 +102,22 @@
 }
 
 impl Driver {
-    pub fn new(settings: Settings, fleet: Vec<ListEntry>) -> Self {
-        Self::seeded(settings, fleet, 1)
+    pub fn new(settings: Settings, machines: Vec<ListEntry>) -> Self {
+        Self::with_seed(settings, machines, 1)
     }
 
-    pub fn seeded(settings: Settings, fleet: Vec<ListEntry>, seed: u64) -> Self {
+    pub fn with_seed(settings: Settings, machines: Vec<ListEntry>, seed: u64) -> Self {
         let now = START_MS;
         let mut driver = Self { router: Router::new(settings, seed, now), now, next: 0, log: Vec::new() };
-        driver.send(Event::List { mode: ListMode::Cached, entries: fleet });
+        driver.send(Event::List { mode: ListMode::Cached, entries: machines });
         driver
     }
 
-    pub fn usual() -> Self {
-        Self::new(settings(), fleet())
+    pub fn with_defaults() -> Self {
+        Self::new(settings(), machines())
     }
 
-    /// Gives the router an event; its actions, less log lines and timers.
+    /// Passes an event to the router. Returns its actions without log lines and timers.
     pub fn send(&mut self, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
         self.router.handle(self.now, event, &mut actions);
@@ -127,8 +132,8 @@
         actions
     }
 
-    /// Moves on in housekeeping steps of 100 ms.
-    pub fn wait(&mut self, span: Millis) -> Vec<Action> {
+    /// Advances the clock in steps of 100 ms, each with a timer event.
+    pub fn advance(&mut self, span: Millis) -> Vec<Action> {
         let end = self.now + span;
         let mut actions = Vec::new();
         while self.now + 100.0 <= end {
@@ -139,15 +144,15 @@
         actions
     }
 
-    pub fn ask(&mut self, class: usize, object: &str) -> Vec<Action> {
-        self.ask_sized(class, object, 100.0)
+    pub fn request(&mut self, class: usize, object: &str) -> Vec<Action> {
+        self.request_sized(class, object, 100.0)
     }
 
-    pub fn ask_sized(&mut self, class: usize, object: &str, size_kb: f64) -> Vec<Action> {
-        self.ask_piece(class, object, 0, size_kb)
+    pub fn request_sized(&mut self, class: usize, object: &str, size_kb: f64) -> Vec<Action> {
+        self.request_piece(class, object, 0, size_kb)
     }
 
-    pub fn ask_piece(&mut self, class: usize, object: &str, piece: u64, size_kb: f64) -> Vec<Action> {
+    pub fn request_piece(&mut self, class: usize, object: &str, piece: u64, size_kb: f64) -> Vec<Action> {
         self.next += 1;
         self.send(Event::Request(ClientRequest {
             id: format!("r{}", self.next).as_str().into(),
@@ -162,7 +167,8 @@
         }))
     }
 
-    pub fn end(
+    /// Ends an attempt after 20 ms.
+    pub fn end_attempt(
         &mut self,
         fetch: &Fetch,
         attempt: usize,
@@ -183,8 +189,8 @@
         }))
     }
 
-    /// Its first attempt is answered after so long, of which its source took so much.
-    pub fn served(
+    /// Answers a first attempt after a time, of which the source took `source_ttfb_ms`.
+    pub fn answer_after(
         &mut self,
         fetch: &Fetch,
         cache_status: CacheStatus,
@@ -205,14 +211,15 @@
         }));
     }
 
+    /// Requests an object, and answers its first attempt after 20 ms.
     pub fn serve(&mut self, class: usize, object: &str, cache_status: CacheStatus) -> Fetch {
-        let fetch = fetch(&self.ask(class, object));
-        self.end(&fetch, 0, Outcome::Ok, Some(cache_status));
+        let fetch = fetch(&self.request(class, object));
+        self.end_attempt(&fetch, 0, Outcome::Ok, Some(cache_status));
         fetch
     }
 }
 
-/// The fetch among the actions.
+/// Returns the fetch among the actions.
 pub fn fetch(actions: &[Action]) -> Fetch {
     let found = actions.iter().find_map(|action| match action {
         Action::Fetch(fetch) => Some(fetch.clone()),
@@ -221,15 +228,15 @@
     found.unwrap_or_else(|| panic!("no fetch in {actions:?}"))
 }
 
-pub fn refused(actions: &[Action]) -> bool {
+pub fn is_refusal(actions: &[Action]) -> bool {
     matches!(actions, [Action::Refuse { .. }])
 }
 
-pub fn failed(actions: &[Action]) -> bool {
+pub fn is_failure(actions: &[Action]) -> bool {
     matches!(actions, [Action::Fail { .. }])
 }
 
-/// A machine as the board lists it.
+/// A machine as the discovery service lists it.
 pub fn listed(name: &str, kind: &str, phase: Phase) -> Listed {
     Listed {
         name: name.into(),
@@ -243,7 +250,7 @@
     }
 }
 
-/// The network side's limits, wide enough for all that tests do.
+/// The limits of the network side, wide enough for all tests.
 pub fn net() -> Net {
     Net {
         dial_timeout_ms: 400.0,
--- a/tests/spread.rs
+++ b/tests/spread.rs
@@ -1,11 +1,12 @@
-//! The ordinary path: home, forecast, spread, release, parent pick, keeping.
+//! Tests of ordinary routing: home cache, forecast, spread mode, choice of the parent, retention.
 
 mod common;
 use common::*;
 use frostturn::api::*;
 use std::collections::BTreeMap;
 
-/// Each second asks for `rate` of `object` and of each of `others`; hits everywhere.
+/// Requests `object` at each rate for one second, and each of `others` once a second; all requests are hits.
+/// Returns how many requests for `object` each cache got.
 fn seconds(driver: &mut Driver, rates: &[usize], object: &str, others: usize) -> BTreeMap<String, usize> {
     let mut caches = BTreeMap::new();
     for rate in rates {
@@ -16,34 +17,35 @@
         for other in 0..others {
             driver.serve(READ, &format!("other{other}"), CacheStatus::Hit);
         }
-        driver.wait(1000.0);
+        driver.advance(1000.0);
     }
     caches
 }
 
 #[test]
-fn an_ordinary_object_keeps_to_its_home() {
-    let mut driver = Driver::usual();
+fn an_object_at_a_steady_rate_stays_at_its_home() {
+    let mut driver = Driver::with_defaults();
     let caches = seconds(&mut driver, &[2; 12], "song", 40);
     assert_eq!(caches.len(), 1, "{caches:?}");
     assert!(driver.log.is_empty());
 }
 
 #[test]
-fn no_mode_before_one_full_window() {
-    let mut driver = Driver::usual();
+fn no_spread_mode_opens_before_one_full_window() {
+    let mut driver = Driver::with_defaults();
     seconds(&mut driver, &[50; 5], "song", 0);
     assert!(driver.log.is_empty(), "{:?}", driver.log);
 }
 
 #[test]
-fn a_rising_line_opens_the_mode_and_the_home_keeps_its_share() {
-    let mut driver = Driver::usual();
-    // 40 others a second over four caches: H is a little under 11. The counts 1 1 2 4 6 8 give the line
-    // y = 1.49x - 0.05: 7.4 at the last second, 11.9 three seconds on, while their mean is 3.7.
+fn a_rising_forecast_opens_the_spread_mode_and_the_home_keeps_its_share() {
+    let mut driver = Driver::with_defaults();
+    // With 40 other requests a second over four caches, the threshold is a little under 11. The counts
+    // 1 1 2 4 6 8 give the line y = 1.49x - 0.05: 7.4 at the last second, and 11.9 three seconds later, while
+    // their mean is 3.7.
     seconds(&mut driver, &[0, 0, 0, 0, 0, 0, 0], "song", 40);
     seconds(&mut driver, &[1, 1, 2, 4, 6, 8], "song", 40);
-    assert!(driver.log.is_empty(), "1 1 2 4 6 alone stays under it: {:?}", driver.log);
+    assert!(driver.log.is_empty(), "1 1 2 4 6 alone stays under the threshold: {:?}", driver.log);
     let caches = seconds(&mut driver, &[30], "song", 40);
     assert!(driver.log.iter().any(|line| line.contains("opened for song")), "{:?}", driver.log);
     assert_eq!(caches.len(), 3, "home and two peers: {caches:?}");
@@ -51,13 +53,13 @@
 }
 
 #[test]
-fn the_mode_is_released_below_the_normal_average() {
-    let mut driver = Driver::usual();
+fn the_spread_mode_closes_below_the_normal_rate() {
+    let mut driver = Driver::with_defaults();
     seconds(&mut driver, &[2; 14], "song", 40);
     seconds(&mut driver, &[30; 4], "song", 40);
     let lines = |driver: &Driver, what: &str| driver.log.iter().filter(|line| line.contains(what)).count();
     assert_eq!(lines(&driver, "opened for song"), 1);
-    // At the normal average itself it stays open; below it, it closes.
+    // The mode stays open at the normal rate, and closes below it.
     seconds(&mut driver, &[3; 8], "song", 40);
     assert_eq!(lines(&driver, "released for song"), 0);
     seconds(&mut driver, &[1; 8], "song", 40);
@@ -65,20 +67,20 @@
 }
 
 #[test]
-fn a_peer_takes_one_request_at_a_time_until_it_has_served() {
-    let mut driver = Driver::usual();
+fn a_peer_gets_one_request_at_a_time_until_it_has_served() {
+    let mut driver = Driver::with_defaults();
     seconds(&mut driver, &[20; 8], "song", 40);
-    // A purge of trust: the ready peers lapse when they miss.
-    let home = fetch(&Driver::usual().ask(READ, "song")).cache;
+    // A ready peer that misses is no longer ready.
+    let home = fetch(&Driver::with_defaults().request(READ, "song")).cache;
     for _ in 0..6 {
-        let sent = fetch(&driver.ask(READ, "song"));
+        let sent = fetch(&driver.request(READ, "song"));
         let outcome = if sent.cache == home { CacheStatus::Hit } else { CacheStatus::Filled };
-        driver.end(&sent, 0, Outcome::Ok, Some(outcome));
+        driver.end_attempt(&sent, 0, Outcome::Ok, Some(outcome));
         if sent.cache != home {
             break;
         }
     }
-    let burst: Vec<Fetch> = (0..12).map(|_| fetch(&driver.ask(READ, "song"))).collect();
+    let burst: Vec<Fetch> = (0..12).map(|_| fetch(&driver.request(READ, "song"))).collect();
     let mut counts = BTreeMap::new();
     for sent in &burst {
         *counts.entry(sent.cache.clone()).or_insert(0) += 1;
@@ -88,8 +90,8 @@
 }
 
 #[test]
-fn a_clients_own_retries_are_not_demand() {
-    let mut driver = Driver::usual();
+fn client_retries_do_not_count_as_demand() {
+    let mut driver = Driver::with_defaults();
     seconds(&mut driver, &[1; 7], "song", 40);
     for turn in 0..60 {
         driver.send(Event::Request(ClientRequest {
@@ -109,11 +111,11 @@
 }
 
 #[test]
-fn the_parent_with_the_shorter_recent_first_byte_is_picked() {
-    let mut driver = Driver::usual();
+fn the_parent_with_the_shorter_recent_time_to_first_byte_is_picked() {
+    let mut driver = Driver::with_defaults();
     let mut slow = None;
     for turn in 0..8 {
-        let sent = fetch(&driver.ask(READ, &format!("new{turn}")));
+        let sent = fetch(&driver.request(READ, &format!("new{turn}")));
         let slow = slow.get_or_insert_with(|| sent.source.clone()).clone();
         let wait = if sent.source == slow { 80.0 } else { 10.0 };
         driver.send(Event::Result(AttemptResult {
@@ -130,14 +132,15 @@
         }));
         driver.now += 2000.0;
     }
-    // One parent alone was heard, so the other counts as average; hash order broke the tie. Once both
-    // were heard, or only the quick one recently, none goes to the slow one.
+    // While only one parent has a measurement, the other counts as average, and hash order breaks the tie.
+    // Once both have one, or only the quick one a recent one, no request goes to the slow one.
     let first = slow.expect("a source was seen");
-    driver.now += 20_000.0; // Nothing is recent: the tie is open again for each object's own order.
+    driver.now += 20_000.0; // No measurement is recent: each object's hash order breaks the tie again.
     let mut sources = Vec::new();
     for turn in 0..20 {
-        let sent = fetch(&driver.ask(READ, &format!("late{turn}")));
-        driver.end(&sent, 0, Outcome::Ok, Some(CacheStatus::Hit)); // Tells nothing of the source.
+        let sent = fetch(&driver.request(READ, &format!("late{turn}")));
+        // A hit says nothing about the source.
+        driver.end_attempt(&sent, 0, Outcome::Ok, Some(CacheStatus::Hit));
         sources.push(sent.source);
     }
     assert_ne!(sources, vec![first.clone(); 20]);
@@ -145,9 +148,9 @@
 }
 
 #[test]
-fn without_parents_the_origin_fills_and_seen_pieces_rank_higher() {
-    let fleet = fleet().into_iter().filter(|entry| entry.kind.as_str() != "parent").collect();
-    let mut driver = Driver::new(settings(), fleet);
+fn without_parents_the_origin_fills_and_seen_pieces_get_a_higher_retention() {
+    let machines = machines().into_iter().filter(|entry| entry.kind.as_str() != "parent").collect();
+    let mut driver = Driver::new(settings(), machines);
     let first = driver.serve(READ, "song", CacheStatus::FilledFromOrigin);
     assert_eq!((first.source.as_str(), first.retention), ("o1", Retention::Low));
     assert_eq!(driver.serve(READ, "song", CacheStatus::Hit).retention, Retention::Middle);
@@ -165,7 +168,7 @@
         }
         settings.parent_kind = Some(rename("parent").as_str().into());
         settings.origin_kind = Some(rename("origin").as_str().into());
-        let list = fleet().into_iter().map(|entry| ListEntry {
+        let list = machines().into_iter().map(|entry| ListEntry {
             kind: rename(entry.kind.as_str()).as_str().into(),
             zone: zone(&entry.zone),
             ..entry
@@ -173,9 +176,9 @@
         let mut driver = Driver::new(settings, list.collect());
         let mut actions = Vec::new();
         for turn in 0..300 {
-            let asked = driver.ask(turn % 3, &format!("o{}", turn % 17));
+            let asked = driver.request(turn % 3, &format!("o{}", turn % 17));
             actions.extend(asked);
-            actions.extend(driver.wait(30.0));
+            actions.extend(driver.advance(30.0));
         }
         actions
     };
