--- a/src/policy.rs
+++ b/src/policy.rs
@@ -113,10 +113,12 @@
 /// A smoothed value, and when it was last updated.
 type Measurement = (f64, Millis);
 
+/// Returns the value of a measurement unless it has expired.
 fn recent(measurement: Option<Measurement>, now: Millis) -> Option<f64> {
     measurement.filter(|(_, at)| now - at <= MEASUREMENT_TTL_MS).map(|(value, _)| value)
 }
 
+/// Adds a sample to a measurement, or starts it anew if it has expired.
 fn record(measurement: &mut Option<Measurement>, now: Millis, sample: f64) {
     let old = recent(*measurement, now).unwrap_or(sample);
     *measurement = Some((old + SMOOTHING_GAIN * (sample - old), now));
@@ -137,8 +139,8 @@
     current: u32,
     second: i64,
     age: usize,
-    /// The mean rate of the seconds that left the window while no spread mode was open. The rise that opens
-    /// the mode is not part of it.
+    /// The mean rate of the seconds that left the window while no spread mode was open, so that the rise that
+    /// opens the mode is not part of it.
     normal_rate: Option<f64>,
 }
 
@@ -189,15 +191,18 @@
     cache: NodeIndex,
     source: NodeIndex,
     sent_at: Millis,
+    /// The time after which its machines are checked for silence.
     check_after_ms: Millis,
     expected_fills: f64,
     outcome: Option<Outcome>,
+    /// The machine that is held responsible for its failure.
     blamed: Option<NodeIndex>,
 }
 
 #[derive(Debug)]
 struct PendingRequest {
     request: ClientRequest,
+    /// Whether the piece was requested before.
     seen: bool,
     arrived_at: Millis,
     deadline: Millis,
@@ -307,6 +312,7 @@
         }
     }
 
+    /// Applies a list of caches. A machine with a later start than before loses its history and starts cold.
     fn update_list(&mut self, now: Millis, mode: ListMode, entries: Vec<ListEntry>) {
         if mode != ListMode::Changes {
             self.nodes.iter_mut().for_each(|node| node.listed = false);
@@ -426,6 +432,7 @@
         seen
     }
 
+    /// Checks slow attempts, and once a second closes spread modes, forgets idle pieces and updates loads.
     fn tick(&mut self, now: Millis, actions: &mut Vec<Action>) {
         self.check_slow_attempts(now, actions);
         let second = ((now - self.started_at) / SECOND_MS) as i64;
@@ -628,7 +635,7 @@
         let expected_fills = if class.uncached || direct { 0.0 } else { usual };
         // While fills fail, only some are tried; without new results the failure share halves every second.
         let failing = self.fill_failures.filter(|(share, _)| *share > FILLS_FAILING_SHARE);
-        let withheld = failing.map_or(0.0, |(share, at)| share * 0.5_f64.powf((now - at) / SECOND_MS));
+        let withhold_share = failing.map_or(0.0, |(share, at)| share * 0.5_f64.powf((now - at) / SECOND_MS));
         // What a slow origin would start too late is only served from copies, which keeps its queue short.
         let ttfbs = self.origin_ttfbs.iter().filter(|(_, at)| now - at <= MEASUREMENT_TTL_MS);
         let mut ttfbs: Vec<Millis> = ttfbs.map(|(ttfb, _)| *ttfb).collect();
@@ -636,12 +643,14 @@
         // Where fills from the origin are not told apart, many times are those of a parent's own copies.
         let rank = if self.settings.detail == Detail::All { 0 } else { 2 };
         let queue = ttfbs.get(rank).copied().unwrap_or(0.0) / (aim - transfer_ms).max(1.0);
-        let withheld = withheld.max((queue - ORIGIN_SLOW_SHARE) / (1.0 - ORIGIN_SLOW_SHARE));
+        let withhold_share = withhold_share.max((queue - ORIGIN_SLOW_SHARE) / (1.0 - ORIGIN_SLOW_SHARE));
         let hedge = pending.attempts.iter().any(|a| a.outcome.is_none()); // The origin may be what is slow.
-        let cached_only = expected_fills > 0.0 && (hedge || self.random_fraction(&request.id) < withheld);
+        let cached_only =
+            expected_fills > 0.0 && (hedge || self.random_fraction(&request.id) < withhold_share);
         // A full link slows every fill, and the retries keep it full: only copies at the cache are served.
         let lookup_only = expected_fills > 0.0 && self.link_full(transfer_ms);
-        let picked = if direct { self.listed(Role::Origin).next() } else { picked }; // The parent's source.
+        // A parent that serves a request directly fills from the origin.
+        let picked = if direct { self.listed(Role::Origin).next() } else { picked };
         let (expected_fills, source) =
             if lookup_only { (0.0, cache) } else { (expected_fills, picked.unwrap_or(cache)) };
         let ttfb = self.nodes[source].measured.ttfb.map_or(INITIAL_TTFB_MS, |(ms, _)| ms);
@@ -979,6 +988,8 @@
         drop(pending.attempts.iter().all(|a| a.outcome.is_some()).then(|| self.requests.remove(id)));
     }
 
+    /// Takes in the end of an attempt: learns from it, blames a machine for a failure, and makes the next
+    /// attempt.
     fn on_result(&mut self, now: Millis, result: &AttemptResult, actions: &mut Vec<Action>) {
         let Some(pending) = self.requests.get_mut(&result.id) else { return };
         let open = pending.attempts.get_mut(result.attempt).filter(|attempt| attempt.outcome.is_none());
--- a/tests/adapter.rs
+++ b/tests/adapter.rs
@@ -28,7 +28,8 @@
          RequestClasses.count=1\tRequestClasses.0.Name=page\tRequestClasses.0.Repeat=retryable\t\
          RequestClasses.0.AimMs=300.0\tRequestClasses.0.HardLimitMs=2000.0";
     format!(
-        "BATCH\t10.0\nSPAWN\t{instance}\t99\t{options}\nINVENTORY\t0\t2\nROW\tbox\t0\teast\t1\tSERVING\t-\ta\n\
+        "BATCH\t10.0\nSPAWN\t{instance}\t99\t{options}\nINVENTORY\t0\t2\n\
+         ROW\tbox\t0\teast\t1\tSERVING\t-\ta\n\
          ROW\torigin\t1\thub\t1\tSERVING\t-\to\nMEMBERSHIP\t{instance}\twarm_copy\t1\t0\nCOMMIT\n"
     )
 }
