--- a/src/reducer/gate.rs
+++ b/src/reducer/gate.rs
@@ -1,42 +1,53 @@
-//! The one place that decides whether an attempt may begin, at the last point where it can still be stopped: as its first
-//! byte would leave. It goes by the reducer's own state, whatever was decided before. Beside it, what a client may be told
-//! of a request that ends before its answer has come.
+//! The last check before an attempt is sent, made when its first byte is about to leave, and the rule for
+//! calling an unanswered request refused. Both use the reducer's own state only, independently of earlier
+//! decisions.
 
 use super::*;
 use crate::reasons::Withheld;
 
-/// An attempt may begin.
+/// Permission to send an attempt now.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Permit {
-    /// What is passed on as its time: what is left of its own time-out and of its client's patience.
+    /// The time limit that is passed on to the machine: what is left of the attempt's time-out and of the
+    /// time until the request's answer deadline.
     pub limit_ms: Millis,
 }
 
 impl Reducer {
-    /// Whether an attempt may begin now.
+    /// Returns whether an attempt may be sent now, and counts each denial.
     pub fn permit(&mut self, now: Millis, attempt: AttemptKey) -> Result<Permit, Withheld> {
-        let permit = self.may_begin(now, attempt);
+        let permit = self.check_send(now, attempt);
         if let Err(reason) = permit {
             self.counters.reasons.withheld.add(reason);
         }
         permit
     }
 
-    fn may_begin(&self, now: Millis, attempt: AttemptKey) -> Result<Permit, Withheld> {
-        let out = self.out.get(&attempt).ok_or(Withheld::UnknownAttempt)?;
-        let held = self.held.get(&out.client).ok_or(Withheld::UnknownAttempt)?;
-        let serves = |name: &CacheId| self.members.get(name).is_some_and(|m| m.phase == Phase::Serving);
-        let others = || held.out.iter().filter(|key| **key != attempt).filter_map(|key| self.out.get(key));
-        let begun = |other: &Out| other.progress != Progress::NotConnected;
-        let fragile = self.repeat_of(held) == Repeat::Fragile;
-        let own_left = if out.timeout_ms > 0.0 { out.timeout_ms - (now - out.sent) } else { f64::INFINITY };
-        let limit_ms = own_left.min(held.guard - now);
+    fn check_send(&self, now: Millis, key: AttemptKey) -> Result<Permit, Withheld> {
+        let attempt = self.attempts.get(&key).ok_or(Withheld::UnknownAttempt)?;
+        let pending = self.pending.get(&attempt.request_key).ok_or(Withheld::UnknownAttempt)?;
+        let serves = |name: &CacheId| self.machines.get(name).is_some_and(|m| m.phase == Phase::Serving);
+        let others = || {
+            pending
+                .in_flight
+                .iter()
+                .filter(|other| **other != key)
+                .filter_map(|other| self.attempts.get(other))
+        };
+        let started = |other: &PendingAttempt| other.progress != Progress::NotConnected;
+        let fragile = self.repeat_policy(pending) == Repeat::Fragile;
+        let own_left = if attempt.timeout_ms > 0.0 {
+            attempt.timeout_ms - (now - attempt.started_at)
+        } else {
+            f64::INFINITY
+        };
+        let limit_ms = own_left.min(pending.answer_by - now);
         let reasons = [
-            (!serves(&out.cache), Withheld::EndpointLeaving),
-            (!serves(&out.source), Withheld::SourceLeaving),
-            (fragile && (held.may_have_run || others().any(begun)), Withheld::MayHaveRun),
-            (!self.settings.limits.second_copies && others().any(begun), Withheld::ConcurrentAttempt),
-            (now > out.send_by, Withheld::SendWindowExpired),
+            (!serves(&attempt.cache), Withheld::EndpointLeaving),
+            (!serves(&attempt.source), Withheld::SourceLeaving),
+            (fragile && (pending.may_have_run || others().any(started)), Withheld::MayHaveRun),
+            (!self.settings.limits.second_copies && others().any(started), Withheld::ConcurrentAttempt),
+            (now > attempt.send_by, Withheld::SendWindowExpired),
             (limit_ms < 1.0, Withheld::ClientDeadlineExpired),
         ];
         match reasons.into_iter().find(|(holds, _)| *holds) {
@@ -45,19 +56,23 @@
         }
     }
 
-    /// Whether a request may be called refused, which tells its client that a repeat does no harm.
-    pub(super) fn refusal_is_harmless(&self, held: &Held) -> bool {
-        let out = held.out.iter().filter_map(|key| self.out.get(key));
-        let mut begun = out.map(|out| out.progress != Progress::NotConnected);
-        match self.repeat_of(held) {
+    /// Returns whether a request may be refused, which tells its client that a repeat does no harm.
+    pub(super) fn may_refuse(&self, pending: &PendingRequest) -> bool {
+        let attempts = pending.in_flight.iter().filter_map(|key| self.attempts.get(key));
+        let mut started = attempts.map(|attempt| attempt.progress != Progress::NotConnected);
+        match self.repeat_policy(pending) {
             Repeat::Retryable | Repeat::Dedup { scope: DedupScope::All, .. } => true,
-            Repeat::Fragile | Repeat::Dedup { .. } => !held.may_have_run && !begun.any(|begun| begun),
+            Repeat::Fragile | Repeat::Dedup { .. } => {
+                !pending.may_have_run && !started.any(|started| started)
+            }
         }
     }
 
-    /// How a request's class may be repeated.
-    fn repeat_of(&self, held: &Held) -> Repeat {
-        let class = self.classes.get(&held.ask.class).and_then(|(at, _)| self.settings.classes.get(*at));
+    /// Returns whether and how requests of a request's class may be repeated. An unknown class counts as
+    /// fragile.
+    fn repeat_policy(&self, pending: &PendingRequest) -> Repeat {
+        let class =
+            self.classes.get(&pending.request.class).and_then(|(at, _)| self.settings.classes.get(*at));
         class.map_or(Repeat::Fragile, |class| class.repeat)
     }
 }
--- a/src/reducer/machines.rs
+++ b/src/reducer/machines.rs
@@ -1,57 +1,71 @@
-//! Machines: the board's word, and operators' beside it.
+//! Machines: what discovery reports of them, and what operators say beside it.
 
 use super::*;
 
 impl Reducer {
-    pub(super) fn notice(&mut self, now: Millis, notice: Notice) {
+    /// Applies an event of the discovery service.
+    pub(super) fn discovery_event(&mut self, now: Millis, notice: Notice) {
         match notice.word {
             None => {}
             Some(Word::Purge { object, group, made_unix_ms }) => {
                 self.counters.purges += 1;
-                let named = object.as_deref().map(ObjectId::from);
+                let object_id = object.as_deref().map(ObjectId::from);
                 let age_ms = now - self.wall_clock.to_monotonic(now, made_unix_ms);
-                self.events.push_back(Event::Purged { object: named, group, age_ms });
-                self.settle(now);
-                // What waits with an older bound is decided anew: it must not leave with what it says of its copy.
-                let purged = |ask: &IncomingRequest| match &object {
-                    Some(object) => ask.object.as_ref() == Some(object),
-                    None => ask.group == group,
+                self.events.push_back(Event::Purged { object: object_id, group, age_ms });
+                self.run_policy(now);
+                // Unsent attempts that carry an older age limit are withdrawn and decided anew.
+                let purged = |request: &IncomingRequest| match &object {
+                    Some(object) => request.object.as_ref() == Some(object),
+                    None => request.group == group,
                 };
-                let concerned =
-                    self.held.values().filter(|held| purged(&held.ask)).flat_map(|held| &held.out);
+                let concerned = self
+                    .pending
+                    .values()
+                    .filter(|pending| purged(&pending.request))
+                    .flat_map(|pending| &pending.in_flight);
                 let concerned: Vec<AttemptKey> = concerned.copied().collect();
-                concerned.into_iter().for_each(|key| self.pull(now, key));
+                concerned.into_iter().for_each(|key| self.withdraw_unsent(now, key));
             }
             Some(Word::Pool { whole, machines }) => {
                 self.counters.lists += 1;
-                self.pool(now, whole, machines, false);
+                self.update_machines(now, whole, machines, false);
             }
         }
     }
 
-    /// When a machine has started: the same start, told again, is as old as it was.
-    fn start(&self, now: Millis, name: &CacheId, named: UnixTime) -> Start {
-        let known = self.members.get(name).and_then(|member| member.start);
-        let same = known.filter(|start| start.named == Some(named));
-        same.unwrap_or_else(|| Start { named: Some(named), at: self.wall_clock.to_monotonic(now, named) })
+    /// Returns when a machine started. A start that is reported again keeps its instant.
+    fn machine_start(&self, now: Millis, name: &CacheId, reported: UnixTime) -> MachineStart {
+        let known = self.machines.get(name).and_then(|machine| machine.start);
+        let same = known.filter(|start| start.reported == Some(reported));
+        same.unwrap_or_else(|| MachineStart {
+            reported: Some(reported),
+            at: self.wall_clock.to_monotonic(now, reported),
+        })
     }
 
-    /// The board tells of machines. `restarted`: an operator took them back, so that they count as started now.
-    pub(super) fn pool(&mut self, now: Millis, whole: bool, machines: Vec<Listed>, restarted: bool) {
+    /// Applies entries of the list of machines. `whole`: the list is complete, and machines that it lacks are
+    /// deleted. `restarted`: an operator has included the machines again, so that they count as started now.
+    pub(super) fn update_machines(
+        &mut self,
+        now: Millis,
+        whole: bool,
+        machines: Vec<Listed>,
+        restarted: bool,
+    ) {
         if whole {
-            for (name, member) in &mut self.members {
+            for (name, machine) in &mut self.machines {
                 if !machines.iter().any(|listed| listed.name == name.as_str()) {
-                    (member.phase, member.told) = (Phase::Deleted, now);
+                    (machine.phase, machine.updated_at) = (Phase::Deleted, now);
                     let listing = Listing { phase: Phase::Deleted, address: None, cold_until: None };
-                    self.watch.gone(name);
+                    self.machine_stats.gone(name);
                     self.effects.push(Effect::SetListing { machine: name.clone(), listing: Some(listing) });
                     self.effects.push(Effect::Retire { machine: name.clone() });
                 }
             }
         }
         let effects = &mut self.effects;
-        self.members.retain(|name, member| {
-            let stays = member.phase != Phase::Deleted || now - member.told < FORGET_MS;
+        self.machines.retain(|name, machine| {
+            let stays = machine.phase != Phase::Deleted || now - machine.updated_at < DELETED_RETENTION_MS;
             if !stays {
                 effects.push(Effect::SetListing { machine: name.clone(), listing: None });
             }
@@ -59,37 +73,39 @@
         });
         let mut entries = Vec::with_capacity(machines.len());
         if whole {
-            self.listed_as.clear();
+            self.listings.clear();
         }
         for mut listed in machines {
             let name = CacheId::from(listed.name.as_str());
             match listed.phase {
-                Phase::Deleted => drop(self.listed_as.remove(&name)),
-                _ => drop(self.listed_as.insert(name.clone(), listed.clone())),
+                Phase::Deleted => drop(self.listings.remove(&name)),
+                _ => drop(self.listings.insert(name.clone(), listed.clone())),
             }
-            // An operator's word holds whatever the board says.
-            if listed.phase == Phase::Serving && self.excluded.contains(name.as_str()) {
+            // An exclusion by an operator overrides what discovery reports.
+            if listed.phase == Phase::Serving && self.exclusions.contains(name.as_str()) {
                 listed.phase = Phase::Draining;
             }
             let start = match listed.since_unix_ms {
-                _ if restarted => Some(Start { named: None, at: now }),
-                named => named.map(|named| self.start(now, &name, named)),
+                _ if restarted => Some(MachineStart { reported: None, at: now }),
+                reported => reported.map(|reported| self.machine_start(now, &name, reported)),
             };
             let since = start.map(|start| start.at);
-            let was = self.members.insert(name.clone(), Member { phase: listed.phase, start, told: now });
+            let previous =
+                self.machines.insert(name.clone(), Machine { phase: listed.phase, start, updated_at: now });
             let address = (listed.phase != Phase::Deleted).then_some(listed.address);
             let cold_until = since.map(|at| at + self.settings.guarantees.cold_ms);
             let listing = Listing { phase: listed.phase, address, cold_until };
             self.effects.push(Effect::SetListing { machine: name.clone(), listing: Some(listing) });
             if listed.phase != Phase::Serving {
                 self.effects.push(Effect::Retire { machine: name.clone() });
-            } else if let (Some(Start { named, at }), Some(was)) = (start, was) {
-                // A machine that vanished and came back leaves old connections open and silent.
-                if was.start.is_none_or(|before| before.named != named && before.at <= at) {
+            } else if let (Some(MachineStart { reported, at }), Some(previous)) = (start, previous) {
+                // Connections from before a restart stay open without an answer if the machine vanished
+                // without closing them.
+                if previous.start.is_none_or(|before| before.reported != reported && before.at <= at) {
                     self.effects.push(Effect::MachineRestarted { machine: name.clone(), at });
                 }
             }
-            self.watch.list(&name, &listed.kind, &listed.zone, listed.phase, listed.weight, since);
+            self.machine_stats.list(&name, &listed.kind, &listed.zone, listed.phase, listed.weight, since);
             entries.push(ListEntry {
                 cache: name,
                 kind: listed.kind,
@@ -100,58 +116,59 @@
                 online_since: since,
             });
         }
-        let mode = match (whole, self.listed) {
+        let mode = match (whole, self.list_received) {
             (true, false) => ListMode::Held,
             (true, true) => ListMode::Full,
             (false, _) => ListMode::Changes,
         };
-        self.listed = true;
+        self.list_received = true;
         if let Some(plugins) = &mut self.plugins {
-            plugins.machines(now, &self.watch);
+            plugins.machines(now, &self.machine_stats);
         }
         self.events.push_back(Event::List { mode, entries });
-        self.settle(now);
-        // What waits in a queue for a machine that leaves, or would be filled from one, goes nowhere.
-        let serves = |name: &CacheId| self.members.get(name).is_some_and(|m| m.phase == Phase::Serving);
-        let unsent = self.out.iter().filter(|(_, out)| out.progress == Progress::NotConnected);
-        let pulled = unsent.filter(|(_, out)| !serves(&out.cache) || !serves(&out.source));
-        let pulled: Vec<AttemptKey> = pulled.map(|(key, _)| *key).collect();
-        pulled.into_iter().for_each(|key| self.pull(now, key));
+        self.run_policy(now);
+        // Queued attempts are withdrawn if their machine, or the source of their fill, is leaving.
+        let serves = |name: &CacheId| self.machines.get(name).is_some_and(|m| m.phase == Phase::Serving);
+        let unsent = self.attempts.iter().filter(|(_, attempt)| attempt.progress == Progress::NotConnected);
+        let withdrawn = unsent.filter(|(_, attempt)| !serves(&attempt.cache) || !serves(&attempt.source));
+        let withdrawn: Vec<AttemptKey> = withdrawn.map(|(key, _)| *key).collect();
+        withdrawn.into_iter().for_each(|key| self.withdraw_unsent(now, key));
     }
 
-    /// Machines that operators have taken out.
+    /// Returns the machines that operators have excluded.
     pub fn excluded(&self) -> &Exclusions {
-        &self.excluded
+        &self.exclusions
     }
 
-    /// Whether the board lists a machine now, serving or draining.
+    /// Returns whether discovery lists a machine now, serving or draining.
     pub fn is_listed(&self, name: &str) -> bool {
-        self.listed_as.contains_key(&CacheId::from(name))
+        self.listings.contains_key(&CacheId::from(name))
     }
 
-    /// Does what an operator asks for.
-    pub(super) fn operator(&mut self, now: Millis, caller: u64, call: ops::Call) {
-        let yes = |yes| if yes { ops::Verdict::Yes } else { ops::Verdict::No };
+    /// Carries out an operator's call.
+    pub(super) fn operator_call(&mut self, now: Millis, caller: u64, call: ops::Call) {
+        let verdict_of = |accepted| if accepted { ops::Verdict::Yes } else { ops::Verdict::No };
         let verdict = match call {
-            ops::Call::Ready => yes(self.ready()),
+            ops::Call::Ready => verdict_of(self.ready()),
             ops::Call::Evacuate => {
                 self.service.evacuate(now);
                 if self.service.evacuating_since() == Some(now) {
-                    self.at(now + DRAINED_BY_MS, Due::AuditDrain);
+                    self.set_timer(now + DRAINED_BY_MS, Timer::AuditDrain);
                 }
                 ops::Verdict::Yes
             }
-            ops::Call::Rejoin => yes(self.service.rejoin()),
+            ops::Call::Rejoin => verdict_of(self.service.rejoin()),
             ops::Call::Telemetry => {
                 let telemetry = Box::new(self.telemetry());
                 return self.effects.push(Effect::SendTelemetry { caller, telemetry });
             }
-            ops::Call::Fleet => ops::Verdict::No, // Answered before it comes here.
+            ops::Call::Fleet => ops::Verdict::No, // Answered before it reaches the reducer.
             ops::Call::Exclude(name) if !self.is_listed(&name) => ops::Verdict::Unknown,
-            ops::Call::Include(name) if !self.is_listed(&name) && !self.excluded.contains(&name) => {
+            ops::Call::Include(name) if !self.is_listed(&name) && !self.exclusions.contains(&name) => {
                 ops::Verdict::Unknown
             }
-            // It holds once it is saved: also where nothing changes here, as another process may have changed it.
+            // A change takes effect once it is saved. It is saved even if nothing changes here, as another
+            // process may have changed it.
             ops::Call::Exclude(name) => {
                 return self.effects.push(Effect::SaveExclusion { caller, name, excluded: true })
             }
@@ -162,11 +179,16 @@
         self.effects.push(Effect::AnswerOperator { caller, verdict });
     }
 
-    /// A change is saved, or isn't and doesn't hold.
-    pub(super) fn changed(&mut self, now: Millis, caller: u64, result: Result<Exclusions, ops::Verdict>) {
+    /// Applies the result of saving an exclusion. If it was not saved, nothing changes.
+    pub(super) fn exclusion_saved(
+        &mut self,
+        now: Millis,
+        caller: u64,
+        result: Result<Exclusions, ops::Verdict>,
+    ) {
         let verdict = match result {
             Ok(excluded) => {
-                self.handed_over(now, excluded);
+                self.apply_exclusions(now, excluded);
                 ops::Verdict::Yes
             }
             Err(verdict) => verdict,
@@ -174,55 +196,56 @@
         self.effects.push(Effect::AnswerOperator { caller, verdict });
     }
 
-    /// Takes over what is out: those machines are read as draining whatever the board says of them, the others by its word.
-    pub(super) fn handed_over(&mut self, now: Millis, excluded: Exclusions) {
-        let before = std::mem::replace(&mut self.excluded, excluded);
-        let mut differing: Vec<CacheId> = before.differing(&self.excluded).map(CacheId::from).collect();
-        differing.retain(|name| self.listed_as.contains_key(name)); // Of the others the board hasn't spoken yet.
-        let (mut taken_out, mut taken_back) = (Vec::new(), Vec::new());
+    /// Applies the set of exclusions: an excluded machine counts as draining, whatever discovery reports, and
+    /// any other machine as discovery reports it.
+    pub(super) fn apply_exclusions(&mut self, now: Millis, excluded: Exclusions) {
+        let before = std::mem::replace(&mut self.exclusions, excluded);
+        let mut differing: Vec<CacheId> = before.differing(&self.exclusions).map(CacheId::from).collect();
+        differing.retain(|name| self.listings.contains_key(name)); // Discovery has not listed the others yet.
+        let (mut newly_excluded, mut newly_included) = (Vec::new(), Vec::new());
         for name in &differing {
-            let out = self.excluded.contains(name.as_str());
-            let word = if out { "taken out" } else { "taken back" };
-            self.effects.push(Effect::Log(format!("{name} is {word} by an operator")));
-            let Some(listed) = self.listed_as.get(name).cloned() else { continue };
-            let entries = if out { &mut taken_out } else { &mut taken_back };
+            let excluded = self.exclusions.contains(name.as_str());
+            let change = if excluded { "excluded" } else { "included again" };
+            self.effects.push(Effect::Log(format!("{name} is {change} by an operator")));
+            let Some(listed) = self.listings.get(name).cloned() else { continue };
+            let entries = if excluded { &mut newly_excluded } else { &mut newly_included };
             entries.push(listed);
         }
-        let served = self.serves();
-        if !taken_out.is_empty() {
-            self.pool(now, false, taken_out, false);
+        let was_serving = self.any_serving();
+        if !newly_excluded.is_empty() {
+            self.update_machines(now, false, newly_excluded, false);
         }
-        if !taken_back.is_empty() {
-            self.pool(now, false, taken_back, true); // They were restarted, as like as not: they are cold.
+        if !newly_included.is_empty() {
+            self.update_machines(now, false, newly_included, true); // Probably restarted, so cold.
         }
-        if served && !self.serves() {
-            self.effects.push(Effect::Log("the last machine that served is out: nobody is left".into()));
+        if was_serving && !self.any_serving() {
+            self.effects.push(Effect::Log("no serving machine is left: the last one was excluded".into()));
         }
     }
 
-    /// What operators are told of its work.
+    /// Returns the figures of the operators' telemetry call.
     fn telemetry(&self) -> ops::Telemetry {
         ops::Telemetry {
             results: self.results.clone(),
             forwards: self.counters.attempts,
-            outstanding: self.held.len(),
-            discovered: self.members.values().filter(|member| member.phase == Phase::Serving).count(),
-            ejected: self.module.ejected(),
+            outstanding: self.pending.len(),
+            discovered: self.machines.values().filter(|machine| machine.phase == Phase::Serving).count(),
+            ejected: self.policy.ejected(),
             reloads: [self.counters.reloads, self.counters.reloads_refused],
-            fleet: None, // The reducer knows of no other routers.
+            fleet: None, // The reducer does not know other routers.
         }
     }
 
-    /// Whether any machine serves.
-    pub(super) fn serves(&self) -> bool {
-        self.members.values().any(|member| member.phase == Phase::Serving)
+    /// Returns whether any machine serves.
+    pub(super) fn any_serving(&self) -> bool {
+        self.machines.values().any(|machine| machine.phase == Phase::Serving)
     }
 
-    /// Spends this part of the cold budget from now on.
-    pub(super) fn cold_part(&mut self, part: f64) {
-        let mut rules = self.settings.guarantees.clone();
-        rules.fall_multiple *= part;
-        rules.parent_fall_multiple *= part;
-        self.module.set_guarantees(rules);
+    /// Sets the share of the cold-start budget that this process may spend.
+    pub(super) fn set_cold_start_share(&mut self, share: f64) {
+        let mut guarantees = self.settings.guarantees.clone();
+        guarantees.fall_multiple *= share;
+        guarantees.parent_fall_multiple *= share;
+        self.policy.set_guarantees(guarantees);
     }
 }
--- a/src/reducer/mod.rs
+++ b/src/reducer/mod.rs
@@ -1,8 +1,9 @@
-//! The one place where state changes: inputs go in, effects come out.
+//! The state machine of the router: takes inputs, changes its state and returns effects.
 //!
-//! It knows requests, attempts, machines and purges, and no protocol; it reads no clock and does no I/O, so
-//! that equal inputs give equal effects. What is decided about a request is the module's ([`crate::policy`]);
-//! what is owed for it is kept here: one final answer each, in time, and a true report of each attempt's end.
+//! The reducer knows requests, attempts, machines and purges, but no protocol. It reads no clock and does no
+//! I/O, so that equal inputs give equal effects. The decision module ([`crate::policy`]) chooses what to do
+//! about a request. The reducer guarantees the outcome: exactly one final answer per request, in time, and a
+//! truthful report of how each attempt ended.
 
 mod gate;
 mod machines;
@@ -26,170 +27,207 @@
     Reply, RequestKey,
 };
 
-/// A request is answered this long before its client gives up: its way back, and a busy core.
-const GUARD_MS: Millis = 30.0;
-/// An attempt whose first byte hasn't left within so many of the settings' dial times is pulled back and decided anew.
-const UNSENT_DIALS: f64 = 1.5;
-/// Where two attempts may not be out at once, the next one leaves so long after one that was given up: its STOP, or the
-/// close of its connection, is on its way and may come later than what goes another way. The protocol page grants as
-/// much beyond each time limit.
-const APART_MS: Millis = 50.0;
-/// After SIGTERM new connections come for up to 0.4 s and requests on them for 0.2 s more.
-const STILL_COMING_MS: Millis = 700.0;
-/// SIGKILL comes no sooner than the longest deadline, counted as 3 s at most, and 0.7 s more.
-const LONGEST_MS: Millis = 3000.0;
-/// All is answered this long before SIGKILL can come, and has left this long before it.
-const BEFORE_KILL_MS: Millis = 300.0;
-const LEFT_BEFORE_KILL_MS: Millis = 100.0;
-/// Answers on their way to clients: part of the memory limit from which slow clients are shed, then all.
-const SHED_SLOW: f64 = 0.2;
-const SHED_ALL: f64 = 0.35;
-/// Part of the memory limit that bodies of open requests may take.
-const HELD_BODIES: f64 = 0.1;
-/// A machine that has left is forgotten after this long: longer than anything still speaks of it.
-const FORGET_MS: Millis = 30_000.0;
-/// A client waits at most for its class's deadline; one that says much more can't mean it.
-const MAX_PATIENCE: f64 = 1.5;
-/// Part of the memory limit that all else about open requests may take, and what one takes.
-const HELD_STATE: f64 = 0.1;
-const HELD_EACH: f64 = 4096.0;
-/// A client connection with more than that unsent is slow.
-const SLOW_BYTES: usize = 256 * 1024;
-/// Part of the descriptors for clients (a third is promised) and for machines; the rest is reserved.
-const CLIENT_SHARE: f64 = 0.55;
-const MACHINE_SHARE: f64 = 0.3;
+/// Margin by which a request is answered before its client gives up. Covers the transfer and a busy CPU.
+const ANSWER_MARGIN_MS: Millis = 30.0;
+/// An attempt whose first byte has not been sent within this many dial time-outs is withdrawn and decided
+/// anew.
+const SEND_TIMEOUT_DIALS: f64 = 1.5;
+/// Where concurrent attempts of one request are not allowed, the next attempt is sent this long after one
+/// that was given up. The STOP of that attempt, or the close of its connection, may arrive later than what is
+/// sent over another connection. The protocol specification grants the same time beyond each time limit.
+const ATTEMPT_SEPARATION_MS: Millis = 50.0;
+/// How long the listener stays open after SIGTERM: new connections arrive for up to 400 ms, and requests on
+/// them for 200 ms more.
+const LISTEN_GRACE_MS: Millis = 700.0;
+/// The longest class deadline that is counted towards SIGKILL, which comes no sooner than that deadline plus
+/// 700 ms.
+const MAX_COUNTED_DEADLINE_MS: Millis = 3000.0;
+/// All requests are answered this long before SIGKILL can come.
+const ANSWER_BEFORE_KILL_MS: Millis = 300.0;
+/// All answers are flushed this long before SIGKILL can come.
+const FLUSH_BEFORE_KILL_MS: Millis = 100.0;
+/// Share of the memory limit that unsent answers may take before further answers to slow clients are dropped.
+const SLOW_CLIENT_MEMORY_SHARE: f64 = 0.2;
+/// Share of the memory limit that unsent answers may take before all further answers are dropped.
+const ALL_CLIENTS_MEMORY_SHARE: f64 = 0.35;
+/// Share of the memory limit that bodies of open requests may take.
+const BODY_MEMORY_SHARE: f64 = 0.1;
+/// How long a deleted machine is remembered: longer than any request, purge or connection still refers to it.
+const DELETED_RETENTION_MS: Millis = 30_000.0;
+/// Largest accepted ratio of a client's time-out to its class's deadline. No client waits longer than its
+/// class's deadline, so a much larger time-out is an error.
+const MAX_TIMEOUT_RATIO: f64 = 1.5;
+/// Share of the memory limit that the state of open requests may take, bodies excluded.
+const STATE_MEMORY_SHARE: f64 = 0.1;
+/// Memory that the state of one open request takes, in bytes.
+const STATE_BYTES_PER_REQUEST: f64 = 4096.0;
+/// A client connection with more unsent bytes than this is slow.
+const SLOW_CLIENT_UNSENT_BYTES: usize = 256 * 1024;
+/// Share of the sockets for client connections (a third is promised). What clients and machines leave is
+/// reserved.
+const CLIENT_SOCKET_SHARE: f64 = 0.55;
+/// Share of the sockets for connections to machines.
+const ENDPOINT_SOCKET_SHARE: f64 = 0.3;
 
+/// A timer, by what happens when it is due.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Due {
-    Module(Token),
-    Guard(RequestKey),
-    Limit(AttemptKey),
-    Apart(AttemptKey),
-    Unsent(AttemptKey),
+enum Timer {
+    /// A timer of the decision module.
+    Policy(Token),
+    /// The answer deadline of a request.
+    AnswerDeadline(RequestKey),
+    /// The time-out of an attempt.
+    AttemptTimeout(AttemptKey),
+    /// A delayed attempt may be sent.
+    SeparationOver(AttemptKey),
+    /// The latest time to send the first byte of an attempt.
+    SendDeadline(AttemptKey),
+    /// The listener's grace time after SIGTERM is over.
     StopListening,
+    /// A drain should be complete.
     AuditDrain,
+    /// All requests must be answered before SIGKILL.
     AnswerAll,
+    /// Checks whether the process can exit.
     Exit,
 }
 
-/// A request that is owed its final answer.
+/// A request whose final answer is still owed.
 #[derive(Debug)]
-struct Held {
+struct PendingRequest {
+    /// The request's id in the decision module.
     id: RequestId,
-    ask: std::rc::Rc<IncomingRequest>,
+    request: std::rc::Rc<IncomingRequest>,
+    /// Whether the request must not run twice, or only under conditions (any class that is not retryable).
     fragile: bool,
-    /// Attempts made, how the latest to end did, and those that are out.
-    attempts: usize,
-    ended: Option<Outcome>,
-    /// One that has ended may have run.
+    /// Attempts made so far.
+    attempts_made: usize,
+    /// How the latest attempt to end ended.
+    last_outcome: Option<Outcome>,
+    /// Whether an attempt that has ended may have run.
     may_have_run: bool,
-    out: Vec<AttemptKey>,
-    /// Where two may not be out at once: until then one that was given up may be at work still.
-    apart: Millis,
-    /// It is answered by then.
-    guard: Millis,
+    /// Attempts that have not ended.
+    in_flight: Vec<AttemptKey>,
+    /// Where concurrent attempts are not allowed: until then an attempt that was given up may still be
+    /// running.
+    separated_until: Millis,
+    /// The answer deadline.
+    answer_by: Millis,
 }
 
-/// An attempt that is out.
+/// An attempt that has not ended.
 #[derive(Debug)]
-struct Out {
-    client: RequestKey,
+struct PendingAttempt {
+    request_key: RequestKey,
+    /// The request's id in the decision module.
     id: RequestId,
+    /// The attempt's number within its request, counted from 0.
     number: usize,
     cache: CacheId,
     source: CacheId,
-    sent: Millis,
+    /// When the attempt was handed over for sending.
+    started_at: Millis,
     timeout_ms: Millis,
+    /// The latest time to send the first byte.
     send_by: Millis,
     progress: Progress,
-    /// It waits until another one is surely over.
-    parked: Option<OutgoingRequest>,
+    /// The request to send, while it waits until an earlier attempt is certain to have ended.
+    delayed: Option<OutgoingRequest>,
 }
 
-/// A late start of a machine.
+/// The start of a machine that started after its router.
 #[derive(Clone, Copy, Debug, PartialEq)]
-struct Start {
-    /// As the board named it; none: an operator's word stands for it. The same name is the same start.
-    named: Option<UnixTime>,
-    /// When it was, as it was first heard of.
+struct MachineStart {
+    /// The time that discovery reported. `None`: the start was assumed because an operator included the
+    /// machine again. An equal time is the same start.
+    reported: Option<UnixTime>,
+    /// The monotonic time of the start, fixed when it is first reported.
     at: Millis,
 }
 
+/// A machine that discovery has reported.
 #[derive(Debug)]
-struct Member {
+struct Machine {
     phase: Phase,
-    start: Option<Start>,
-    /// When it was last told of.
-    told: Millis,
+    start: Option<MachineStart>,
+    /// When discovery last mentioned the machine.
+    updated_at: Millis,
 }
 
-/// All state of a router but that of its connections.
+/// The state of a router, apart from its connections.
 #[derive(Debug)]
 pub struct Reducer {
-    module: Router,
+    policy: Router,
     settings: Settings,
+    /// Each class's index in the settings, and whether its requests are fragile (not plainly retryable).
     classes: HashMap<String, (usize, bool)>,
-    net: Net,
+    network: Net,
     wall_clock: WallClock,
-    members: BTreeMap<CacheId, Member>,
-    listed: bool,
-    held: BTreeMap<RequestKey, Held>,
-    clients: HashMap<RequestId, RequestKey>,
-    /// Ids as the clients gave them, of what is held.
-    open_ids: HashSet<String>,
-    out: BTreeMap<AttemptKey, Out>,
+    machines: BTreeMap<CacheId, Machine>,
+    /// Whether any list of machines has been received.
+    list_received: bool,
+    pending: BTreeMap<RequestKey, PendingRequest>,
+    request_keys: HashMap<RequestId, RequestKey>,
+    /// Ids of the pending requests, as their clients gave them.
+    open_client_ids: HashSet<String>,
+    attempts: BTreeMap<AttemptKey, PendingAttempt>,
     next_attempt: AttemptKey,
-    dues: BTreeMap<(u64, u64), Due>,
-    next_due: u64,
-    buffered: HashMap<u64, usize>,
-    buffered_all: usize,
-    /// Bytes of the bodies of requests that are held.
-    held_bytes: usize,
+    /// Timers by due time, in microseconds, and order of creation.
+    timers: BTreeMap<(u64, u64), Timer>,
+    next_timer: u64,
+    /// Bytes of answers that have not been sent yet, per client connection and in total.
+    unsent_bytes: HashMap<u64, usize>,
+    unsent_total: usize,
+    /// Bytes of the bodies of pending requests.
+    pending_body_bytes: usize,
     service: Service,
-    /// Machines as the board listed them last, and those that operators have taken out.
-    listed_as: BTreeMap<CacheId, Listed>,
-    excluded: Exclusions,
-    exited: bool,
+    /// The latest entry of each machine that discovery lists.
+    listings: BTreeMap<CacheId, Listed>,
+    /// Machines that operators have excluded.
+    exclusions: Exclusions,
+    /// Whether [`Effect::Exit`] has been returned.
+    exit_requested: bool,
     events: VecDeque<Event>,
     effects: Vec<Effect>,
-    /// Plug-ins, where the operator's file names any, and what they are shown of machines.
+    /// Plug-ins, if the operator's file names any.
     plugins: Option<Box<Plugins>>,
-    watch: Watch,
-    /// Requests that ended, by class.
+    /// Per-machine figures that plug-ins are shown.
+    machine_stats: Watch,
+    /// Ended requests by class and disposition.
     results: ops::Results,
-    /// What it has counted.
+    /// Counters since the start.
     pub counters: Counters,
 }
 
 impl Reducer {
-    /// A router at its start; `unix` is the wall clock's time at `now`.
+    /// Creates the state of a starting router. `unix` is the wall clock's time at `now`.
     pub fn new(settings: Settings, net: Net, seed: u64, now: Millis, unix: UnixTime) -> Self {
         let fragile = |class: &ClassSettings| class.repeat != Repeat::Retryable;
         let classes = settings.classes.iter().enumerate();
         Self {
             classes: classes.map(|(at, class)| (class.name.clone(), (at, fragile(class)))).collect(),
-            module: Router::new(settings.clone(), seed, now),
+            policy: Router::new(settings.clone(), seed, now),
             plugins: None,
-            watch: Watch::new(&settings),
+            machine_stats: Watch::new(&settings),
             settings,
-            net,
+            network: net,
             wall_clock: WallClock::new(now, unix),
-            members: BTreeMap::new(),
-            listed: false,
-            held: BTreeMap::new(),
-            clients: HashMap::new(),
-            open_ids: HashSet::new(),
-            out: BTreeMap::new(),
+            machines: BTreeMap::new(),
+            list_received: false,
+            pending: BTreeMap::new(),
+            request_keys: HashMap::new(),
+            open_client_ids: HashSet::new(),
+            attempts: BTreeMap::new(),
             next_attempt: 0,
-            dues: BTreeMap::new(),
-            next_due: 0,
-            buffered: HashMap::new(),
-            buffered_all: 0,
-            held_bytes: 0,
+            timers: BTreeMap::new(),
+            next_timer: 0,
+            unsent_bytes: HashMap::new(),
+            unsent_total: 0,
+            pending_body_bytes: 0,
             service: Service::default(),
-            listed_as: BTreeMap::new(),
-            excluded: Exclusions::default(),
-            exited: false,
+            listings: BTreeMap::new(),
+            exclusions: Exclusions::default(),
+            exit_requested: false,
             events: VecDeque::new(),
             effects: Vec::new(),
             results: ops::Results::default(),
@@ -197,7 +235,8 @@
         }
     }
 
-    /// Has these plug-ins asked from now on, in this order; those that are not among `loaded` stay as they are.
+    /// Replaces the active plug-ins by those in `order`. Plug-ins that are not in `loaded` keep their
+    /// instances.
     pub fn set_plugins(&mut self, now: Millis, order: &[String], loaded: Vec<Loaded>) {
         if self.plugins.is_none() && loaded.is_empty() {
             return;
@@ -207,124 +246,124 @@
         self.plugins = Some(plugins).filter(|plugins| !plugins.is_empty());
     }
 
-    /// The plug-ins, if there are any.
+    /// Returns the plug-ins, if there are any.
     pub fn plugins(&self) -> Option<&Plugins> {
         self.plugins.as_deref()
     }
 
-    /// What the module decides by.
+    /// Returns the settings that the decision module uses.
     pub fn settings(&self) -> &Settings {
         &self.settings
     }
 
-    /// Takes over other limits of the network side.
+    /// Replaces the limits of the network side.
     pub fn set_net(&mut self, net: Net) {
-        self.net = net;
+        self.network = net;
     }
 
-    /// Whether clients can be served: there are machines to serve from, and no end in sight.
+    /// Returns whether the router can serve clients: a machine serves, and the router accepts clients.
     pub fn ready(&self) -> bool {
-        self.serves() && self.service.accepts_clients()
+        self.any_serving() && self.service.accepts_clients()
     }
 
-    /// Where it stands between serving and its end.
+    /// Returns the state of the service.
     pub fn service(&self) -> Service {
         self.service
     }
 
-    /// Whether it was told to end.
+    /// Returns whether the router was asked to terminate.
     pub fn is_terminating(&self) -> bool {
         self.service.terminating_since().is_some()
     }
 
-    /// Client connections that may be open.
+    /// Returns how many client connections may be open.
     pub fn max_client_connections(&self) -> usize {
-        (self.net.sockets as f64 * CLIENT_SHARE) as usize
+        (self.network.sockets as f64 * CLIENT_SOCKET_SHARE) as usize
     }
 
-    /// The longest that a client of any class waits.
+    /// Returns the longest deadline of any class.
     pub fn longest_deadline_ms(&self) -> Millis {
         self.settings.classes.iter().map(|class| class.deadline_ms).fold(0.0, f64::max)
     }
 
-    /// Connections to machines that may be open.
+    /// Returns how many connections to machines may be open.
     pub fn max_endpoint_connections(&self) -> usize {
-        (self.net.sockets as f64 * MACHINE_SHARE) as usize
+        (self.network.sockets as f64 * ENDPOINT_SOCKET_SHARE) as usize
     }
 
-    /// Machines that are known, those that have left lately among them.
+    /// Returns the number of known machines, including recently deleted ones.
     pub fn known_machines(&self) -> usize {
-        self.members.len()
+        self.machines.len()
     }
 
-    /// Requests that are owed an answer.
+    /// Returns the number of requests that are owed an answer.
     pub fn open_requests(&self) -> usize {
-        self.held.len()
+        self.pending.len()
     }
 
-    /// When [`Input::TimersDue`] is wanted next.
+    /// Returns when [`Input::TimersDue`] is needed next.
     pub fn next_deadline(&self) -> Option<Millis> {
-        let own = self.dues.keys().next().map(|(at, _)| *at as f64 / 1000.0);
-        let tick = self.plugins.as_ref().and_then(|plugins| plugins.next_due());
-        [own, tick].into_iter().flatten().reduce(f64::min)
+        let next_timer = self.timers.keys().next().map(|(at, _)| *at as f64 / 1000.0);
+        let plugin_tick = self.plugins.as_ref().and_then(|plugins| plugins.next_due());
+        [next_timer, plugin_tick].into_iter().flatten().reduce(f64::min)
     }
 
-    /// Takes one input in; what is to be done, in order.
+    /// Applies one input and returns the effects to carry out, in order.
     pub fn step(&mut self, now: Millis, input: Input) -> Vec<Effect> {
         match input {
-            Input::RequestReceived { key: client, request: ask, age_ms } => {
-                self.asked(now, client, ask, age_ms)
+            Input::RequestReceived { key, request, age_ms } => {
+                self.receive_request(now, key, request, age_ms)
             }
-            Input::Health { key: client } => {
+            Input::Health { key } => {
                 let reply = Reply::Health(self.ready());
-                self.effects.push(Effect::Answer { key: client, reply });
+                self.effects.push(Effect::Answer { key, reply });
             }
-            Input::Aborted { key: client } => self.aborted(now, client),
+            Input::Aborted { key } => self.abort(now, key),
             Input::Flushed { conn, bytes } => {
-                let left = self.buffered.get_mut(&conn);
-                let bytes = left.map_or(0, |left| {
-                    let bytes = bytes.min(*left);
-                    *left -= bytes;
+                let unsent = self.unsent_bytes.get_mut(&conn);
+                let bytes = unsent.map_or(0, |unsent| {
+                    let bytes = bytes.min(*unsent);
+                    *unsent -= bytes;
                     bytes
                 });
-                self.buffered_all -= bytes;
+                self.unsent_total -= bytes;
             }
             Input::ConnectionClosed { conn } => {
-                self.buffered_all -= self.buffered.remove(&conn).unwrap_or(0);
-                self.open_on(conn).into_iter().for_each(|client| self.aborted(now, client));
+                self.unsent_total -= self.unsent_bytes.remove(&conn).unwrap_or(0);
+                self.requests_on(conn).into_iter().for_each(|key| self.abort(now, key));
             }
             Input::ConnectionUnreadable { conn } => {
-                let open = self.open_on(conn);
-                open.into_iter().for_each(|client| self.fail(now, client, Failure::BadConnection));
+                let open = self.requests_on(conn);
+                open.into_iter().for_each(|key| self.fail(now, key, Failure::BadConnection));
             }
-            Input::RequestTruncated { key: client } => self.cut_short(now, client),
+            Input::RequestTruncated { key } => self.refuse_truncated(now, key),
             Input::ConnectionClosing { conn } => {
-                let open = self.open_on(conn);
-                open.into_iter().for_each(|client| self.give_up(now, client));
+                let open = self.requests_on(conn);
+                open.into_iter().for_each(|key| self.answer_before_close(now, key));
             }
             Input::Progressed { attempt, progress } => {
-                if let Some(out) = self.out.get_mut(&attempt) {
-                    out.progress = out.progress.max(progress);
+                if let Some(attempt) = self.attempts.get_mut(&attempt) {
+                    attempt.progress = attempt.progress.max(progress);
                 }
             }
-            Input::Ended { attempt, end } => self.ended(now, attempt, end),
-            Input::Probed { machine: member, outcome, report } => {
-                self.events.push_back(Event::Probed { cache: member, outcome, report });
+            Input::Ended { attempt, end } => self.attempt_ended(now, attempt, end),
+            Input::Probed { machine, outcome, report } => {
+                self.events.push_back(Event::Probed { cache: machine, outcome, report });
             }
             Input::DiscoveryEvent { notice, unix } => {
                 self.wall_clock.observe(now, unix);
-                self.notice(now, notice);
+                self.discovery_event(now, notice);
             }
             Input::ClocksRead { unix } => self.wall_clock.observe(now, unix),
-            Input::TimersDue => self.pass(now),
+            Input::TimersDue => self.run_due_timers(now),
             Input::Terminate => self.terminate(now),
             Input::ListenerClosed => self.service.shut_down(),
-            Input::ExclusionsLoaded { excluded } => self.handed_over(now, excluded),
-            Input::ExclusionSaved { caller, result } => self.changed(now, caller, result),
-            Input::ColdStartShare(part) => self.cold_part(part),
-            Input::Operator { caller, call } => self.operator(now, caller, call),
+            Input::ExclusionsLoaded { excluded } => self.apply_exclusions(now, excluded),
+            Input::ExclusionSaved { caller, result } => self.exclusion_saved(now, caller, result),
+            Input::ColdStartShare(share) => self.set_cold_start_share(share),
+            Input::Operator { caller, call } => self.operator_call(now, caller, call),
         }
-        self.settle(now);
+        self.run_policy(now);
         if let Some(plugins) = &mut self.plugins {
             plugins.tick(now);
             self.effects.extend(plugins.take_lines().into_iter().map(Effect::Log));
@@ -332,106 +371,118 @@
         std::mem::take(&mut self.effects)
     }
 
-    /// Does what is due. Only [`Input::TimersDue`] does, which comes after all that a wake has brought: a timer never acts on
-    /// a client, a machine or an answer of which the news is there, unread.
-    fn pass(&mut self, now: Millis) {
-        while let Some(entry) = self.dues.first_entry().filter(|entry| entry.key().0 as f64 / 1000.0 <= now) {
-            let due = entry.remove();
-            self.due(now, due);
-            self.settle(now);
+    /// Runs the timers that are due. Only [`Input::TimersDue`] calls this, and it comes after all other
+    /// inputs of an event loop turn, so that no timer acts on a client, a machine or an answer whose news has
+    /// arrived but is unread.
+    fn run_due_timers(&mut self, now: Millis) {
+        while let Some(entry) = self.timers.first_entry().filter(|entry| entry.key().0 as f64 / 1000.0 <= now)
+        {
+            let timer = entry.remove();
+            self.fire_timer(now, timer);
+            self.run_policy(now);
         }
     }
 
-    fn at(&mut self, when: Millis, due: Due) {
-        self.next_due += 1;
-        self.dues.insert(((when.max(0.0) * 1000.0).ceil() as u64, self.next_due), due);
+    /// Sets a timer. Timers with equal times run in the order in which they were set.
+    fn set_timer(&mut self, when: Millis, timer: Timer) {
+        self.next_timer += 1;
+        self.timers.insert(((when.max(0.0) * 1000.0).ceil() as u64, self.next_timer), timer);
     }
 
-    /// Gives the module what there is for it and takes in what it asks for, until nothing is left.
-    fn settle(&mut self, now: Millis) {
+    /// Hands all queued events to the decision module and applies its actions, until no event is left.
+    fn run_policy(&mut self, now: Millis) {
         while let Some(event) = self.events.pop_front() {
             let mut actions = Vec::new();
-            self.module.handle(now, event, &mut actions);
-            actions.into_iter().for_each(|action| self.act(now, action));
+            self.policy.handle(now, event, &mut actions);
+            actions.into_iter().for_each(|action| self.apply_action(now, action));
         }
     }
 
-    fn act(&mut self, now: Millis, action: Action) {
+    /// Applies an action of the decision module.
+    fn apply_action(&mut self, now: Millis, action: Action) {
         match action {
-            Action::Fetch(fetch) => self.send(now, fetch),
+            Action::Fetch(fetch) => self.start_attempt(now, fetch),
             Action::Refuse { id, hold_off_ms, reason } => {
                 self.answer(now, &id, Reply::Refused { hold_off_ms, reason });
             }
             Action::Fail { id, reason } => self.answer(now, &id, Reply::Failed(Failure::GivenUp(reason))),
             Action::Abandon { id, attempt } => {
-                // Once a request is answered nothing of it is out.
-                let held = self.clients.get(&id).and_then(|client| self.held.get(client));
-                let out = held.map_or(&[][..], |held| &held.out);
-                let found = out.iter().find(|key| self.out.get(key).is_some_and(|out| out.number == attempt));
+                // An answered request has no attempts in flight.
+                let pending = self.request_keys.get(&id).and_then(|key| self.pending.get(key));
+                let in_flight = pending.map_or(&[][..], |pending| &pending.in_flight);
+                let found = in_flight
+                    .iter()
+                    .find(|key| self.attempts.get(key).is_some_and(|candidate| candidate.number == attempt));
                 if let Some(key) = found.copied() {
-                    self.stop(now, key, Outcome::Cancelled, Outcome::Moot, false);
+                    self.cancel_attempt(now, key, Outcome::Cancelled, Outcome::Moot, false);
                 }
             }
-            Action::Timer { delay_ms, token } => self.at(now + delay_ms, Due::Module(token)),
+            Action::Timer { delay_ms, token } => self.set_timer(now + delay_ms, Timer::Policy(token)),
             Action::Probe { cache } => {
-                if self.members.contains_key(&cache) {
+                if self.machines.contains_key(&cache) {
                     self.counters.probes += 1;
                     self.effects.push(Effect::Probe { machine: cache });
                 }
             }
-            Action::Subscribe => {} // The board is followed all the time.
+            Action::Subscribe => {} // Discovery is always followed.
             Action::Log(text) => self.effects.push(Effect::Log(text)),
         }
     }
 
-    /// How long after SIGTERM there is time to answer.
-    fn patience(&self) -> Millis {
-        STILL_COMING_MS + self.longest_deadline_ms().min(LONGEST_MS) - BEFORE_KILL_MS
+    /// Returns how long after SIGTERM requests may still be answered.
+    fn answer_window_ms(&self) -> Millis {
+        LISTEN_GRACE_MS + self.longest_deadline_ms().min(MAX_COUNTED_DEADLINE_MS) - ANSWER_BEFORE_KILL_MS
     }
 
+    /// Starts the termination of the process.
     fn terminate(&mut self, now: Millis) {
-        // Answers are due in any case, but what comes in time is taken first.
-        if !self.service.terminate(now, self.patience().max(STILL_COMING_MS)) {
+        // Connections are kept for the listener's grace time, even if the answers are due earlier.
+        if !self.service.terminate(now, self.answer_window_ms().max(LISTEN_GRACE_MS)) {
             return;
         }
-        self.at(now + STILL_COMING_MS, Due::StopListening);
-        self.at(now + self.patience(), Due::AnswerAll);
+        self.set_timer(now + LISTEN_GRACE_MS, Timer::StopListening);
+        self.set_timer(now + self.answer_window_ms(), Timer::AnswerAll);
     }
 
-    fn due(&mut self, now: Millis, due: Due) {
-        match due {
-            Due::Module(token) => self.events.push_back(Event::Timer(token)),
-            Due::Guard(client) => self.guard(now, client),
-            Due::Limit(key) => {
-                self.stop(now, key, Outcome::Timeout, Outcome::ConnectFailed, false);
+    /// Runs a timer that is due.
+    fn fire_timer(&mut self, now: Millis, timer: Timer) {
+        match timer {
+            Timer::Policy(token) => self.events.push_back(Event::Timer(token)),
+            Timer::AnswerDeadline(key) => self.answer_at_deadline(now, key),
+            Timer::AttemptTimeout(key) => {
+                self.cancel_attempt(now, key, Outcome::Timeout, Outcome::ConnectFailed, false);
             }
-            Due::Apart(key) => {
-                if let Some(call) = self.out.get_mut(&key).and_then(|out| out.parked.take()) {
-                    let member = call.fetch.cache.clone();
-                    self.effects.push(Effect::Send { attempt: key, machine: member, request: call });
+            Timer::SeparationOver(key) => {
+                if let Some(request) = self.attempts.get_mut(&key).and_then(|attempt| attempt.delayed.take())
+                {
+                    let machine = request.fetch.cache.clone();
+                    self.effects.push(Effect::Send { attempt: key, machine, request });
                 }
             }
-            Due::Unsent(key) => self.pull(now, key),
-            Due::StopListening => {
+            Timer::SendDeadline(key) => self.withdraw_unsent(now, key),
+            Timer::StopListening => {
                 self.effects.push(Effect::StopListening);
-                self.at(now, Due::Exit);
+                self.set_timer(now, Timer::Exit);
             }
-            Due::AuditDrain => {
-                // It may have been called back, and evacuated again, since.
-                let over = self.service.evacuating_since().is_some_and(|since| now - since >= DRAINED_BY_MS);
-                self.effects.extend(over.then_some(Effect::AuditDrain));
+            Timer::AuditDrain => {
+                // The router may have rejoined, and been evacuated again, since the timer was set.
+                let drain_over =
+                    self.service.evacuating_since().is_some_and(|since| now - since >= DRAINED_BY_MS);
+                self.effects.extend(drain_over.then_some(Effect::AuditDrain));
             }
-            Due::AnswerAll => {
-                let all: Vec<RequestKey> = self.held.keys().copied().collect();
-                all.into_iter().for_each(|client| self.guard(now, client));
+            Timer::AnswerAll => {
+                let all: Vec<RequestKey> = self.pending.keys().copied().collect();
+                all.into_iter().for_each(|key| self.answer_at_deadline(now, key));
             }
-            Due::Exit if self.held.is_empty() && !self.exited => {
-                self.exited = true;
-                // Slow clients may still be reading: they have as long as the platform gives.
-                let kill = self.service.terminating_since().unwrap_or(now) + self.patience() + BEFORE_KILL_MS;
-                self.effects.push(Effect::Exit { by: kill - LEFT_BEFORE_KILL_MS });
+            Timer::Exit if self.pending.is_empty() && !self.exit_requested => {
+                self.exit_requested = true;
+                // Slow clients may still be reading: they have as long as the platform allows.
+                let kill_at = self.service.terminating_since().unwrap_or(now)
+                    + self.answer_window_ms()
+                    + ANSWER_BEFORE_KILL_MS;
+                self.effects.push(Effect::Exit { by: kill_at - FLUSH_BEFORE_KILL_MS });
             }
-            Due::Exit => self.at(now + 5.0, Due::Exit),
+            Timer::Exit => self.set_timer(now + 5.0, Timer::Exit),
         }
     }
 }
--- a/src/reducer/requests.rs
+++ b/src/reducer/requests.rs
@@ -1,25 +1,26 @@
-//! Requests and their attempts: taken, sent, ended and answered once.
+//! Requests and their attempts: accepts requests, starts and ends attempts, and gives each request one final
+//! answer.
 
 use super::*;
 use crate::reasons::{AttemptCause, Refusal};
 
-/// What a request is, for plug-ins.
-fn about(ask: &IncomingRequest, class: usize, left_ms: Millis) -> About<'_> {
+/// Describes a request for the plug-ins. `left_ms` is the time until the answer deadline.
+fn about(request: &IncomingRequest, class: usize, left_ms: Millis) -> About<'_> {
     About {
         class,
-        object: ask.object.as_deref(),
-        piece: ask.piece.unwrap_or(0),
-        group: ask.group,
-        size_kb: ask.size_kb,
+        object: request.object.as_deref(),
+        piece: request.piece.unwrap_or(0),
+        group: request.group,
+        size_kb: request.size_kb,
         left_ms,
-        repeat: ask.repeat,
+        repeat: request.repeat,
     }
 }
 
-/// Why a request's next attempt is made.
-fn attempt_cause(held: &Held) -> AttemptCause {
-    match held.ended {
-        _ if !held.out.is_empty() => AttemptCause::Hedge,
+/// Returns why a request's next attempt is made.
+fn attempt_cause(pending: &PendingRequest) -> AttemptCause {
+    match pending.last_outcome {
+        _ if !pending.in_flight.is_empty() => AttemptCause::Hedge,
         None | Some(Outcome::Ok) => AttemptCause::First,
         Some(Outcome::Timeout) => AttemptCause::AfterTimeout,
         Some(Outcome::Error) => AttemptCause::AfterError,
@@ -33,113 +34,118 @@
 }
 
 impl Reducer {
-    pub(super) fn asked(
+    /// Accepts, refuses or fails a request that was received.
+    pub(super) fn receive_request(
         &mut self,
         now: Millis,
-        client: RequestKey,
-        ask: Result<IncomingRequest, &'static str>,
+        request_key: RequestKey,
+        request: Result<IncomingRequest, &'static str>,
         age_ms: Millis,
     ) {
-        let known = ask.and_then(|ask| {
-            let class = self.classes.get(&ask.class).copied().ok_or("no such class")?;
-            if ask.timeout_ms > MAX_PATIENCE * self.settings.classes[class.0].deadline_ms {
-                return Err("nobody waits so long"); // It would be held for ever.
+        let checked = request.and_then(|request| {
+            let class = self.classes.get(&request.class).copied().ok_or("no such class")?;
+            if request.timeout_ms > MAX_TIMEOUT_RATIO * self.settings.classes[class.0].deadline_ms {
+                return Err("nobody waits so long"); // Its state would be kept far too long.
             }
-            if self.open_ids.contains(&ask.id) {
-                return Err("its id is that of an open request"); // One of the two answers would be the other's.
+            if self.open_client_ids.contains(&request.id) {
+                return Err("its id is that of an open request"); // Each answer could reach the wrong request.
             }
-            Ok((ask, class))
+            Ok((request, class))
         });
-        let (ask, (class, fragile)) = match known {
-            Ok(known) => known,
+        let (request, (class, fragile)) = match checked {
+            Ok(checked) => checked,
             Err(why) => {
                 self.counters.bad_requests += 1;
                 let reply = Reply::Failed(Failure::BadRequest(why));
-                return self.effects.push(Effect::Answer { key: client, reply });
+                return self.effects.push(Effect::Answer { key: request_key, reply });
             }
         };
         self.counters.taken += 1;
-        self.counters.repeats += u64::from(ask.repeat);
+        self.counters.repeats += u64::from(request.repeat);
         if let Some(reason) = self.service.refusal(now) {
-            // Its connection, or the process, could end before its answer.
-            return self.decline(client, &ask.class, reason);
+            // The connection, or the process, could end before the answer is sent.
+            return self.refuse(request_key, &request.class, reason);
         }
-        let mut guard = now + ask.timeout_ms - age_ms.max(0.0) - GUARD_MS;
-        if let Some(kill) = self.service.terminating_since().map(|at| at + self.patience()) {
-            guard = guard.min(kill);
+        let mut answer_by = now + request.timeout_ms - age_ms.max(0.0) - ANSWER_MARGIN_MS;
+        if let Some(answer_all_by) = self.service.terminating_since().map(|at| at + self.answer_window_ms()) {
+            answer_by = answer_by.min(answer_all_by);
         }
-        let no_room = self.held_bytes + ask.body.len() > (self.net.memory as f64 * HELD_BODIES) as usize;
-        let most = self.net.max_open.min((self.net.memory as f64 * HELD_STATE / HELD_EACH) as usize);
+        let no_room = self.pending_body_bytes + request.body.len()
+            > (self.network.memory as f64 * BODY_MEMORY_SHARE) as usize;
+        let max_open = self
+            .network
+            .max_open
+            .min((self.network.memory as f64 * STATE_MEMORY_SHARE / STATE_BYTES_PER_REQUEST) as usize);
         let reasons = [
-            (self.held.len() >= most, Refusal::TooManyOpen),
+            (self.pending.len() >= max_open, Refusal::TooManyOpen),
             (no_room, Refusal::BodyMemoryFull),
-            (guard <= now, Refusal::DeadlineExpired),
+            (answer_by <= now, Refusal::DeadlineExpired),
         ];
         if let Some((_, reason)) = reasons.into_iter().find(|(holds, _)| *holds) {
-            return self.decline(client, &ask.class, reason);
+            return self.refuse(request_key, &request.class, reason);
         }
-        let advice = self
-            .plugins
-            .as_mut()
-            .and_then(|plugins| plugins.request(now, &about(&ask, class, guard - now), &self.watch));
-        // Ids of the module's own: a client may send one again, on another connection.
-        let id: RequestId = format!("{}/{}.{}", ask.id, client.conn, client.serial).as_str().into();
+        let advice = self.plugins.as_mut().and_then(|plugins| {
+            plugins.request(now, &about(&request, class, answer_by - now), &self.machine_stats)
+        });
+        // The decision module gets ids of its own: a client may reuse an id on another connection.
+        let id: RequestId =
+            format!("{}/{}.{}", request.id, request_key.conn, request_key.serial).as_str().into();
         self.events.push_back(Event::Request(ClientRequest {
             id: id.clone(),
-            repeat: ask.repeat,
+            repeat: request.repeat,
             class,
-            size_kb: ask.size_kb,
-            piece: ask.piece.unwrap_or(0),
-            budget_ms: guard - now,
-            object: ask.object.as_deref().map(ObjectId::from),
-            group: ask.group,
+            size_kb: request.size_kb,
+            piece: request.piece.unwrap_or(0),
+            budget_ms: answer_by - now,
+            object: request.object.as_deref().map(ObjectId::from),
+            group: request.group,
             advice,
         }));
-        self.clients.insert(id.clone(), client);
-        self.open_ids.insert(ask.id.clone());
-        self.held_bytes += ask.body.len();
-        let held = Held {
+        self.request_keys.insert(id.clone(), request_key);
+        self.open_client_ids.insert(request.id.clone());
+        self.pending_body_bytes += request.body.len();
+        let pending = PendingRequest {
             id,
-            ask: ask.into(),
+            request: request.into(),
             fragile,
-            attempts: 0,
-            ended: None,
+            attempts_made: 0,
+            last_outcome: None,
             may_have_run: false,
-            out: Vec::new(),
-            apart: 0.0,
-            guard,
+            in_flight: Vec::new(),
+            separated_until: 0.0,
+            answer_by,
         };
-        self.held.insert(client, held);
-        self.at(guard, Due::Guard(client));
+        self.pending.insert(request_key, pending);
+        self.set_timer(answer_by, Timer::AnswerDeadline(request_key));
     }
 
-    /// Refuses a request that is not taken.
-    fn decline(&mut self, client: RequestKey, class: &str, reason: Refusal) {
+    /// Refuses a request that is not accepted.
+    fn refuse(&mut self, request_key: RequestKey, class: &str, reason: Refusal) {
         self.counters.shed += 1;
         self.counters.refused += 1;
         self.counters.reasons.refusals.add(reason);
         self.results.count(class, ops::Disposition::Declined);
         let reply = Reply::Refused { hold_off_ms: None, reason };
-        self.effects.push(Effect::Answer { key: client, reply });
+        self.effects.push(Effect::Answer { key: request_key, reply });
     }
 
-    /// Refuses a request that is half there, as its connection is about to be closed.
-    pub(super) fn cut_short(&mut self, now: Millis, client: RequestKey) {
+    /// Refuses a partly received request, as its connection is about to be closed.
+    pub(super) fn refuse_truncated(&mut self, now: Millis, request_key: RequestKey) {
         let reason = self.service.refusal(now).unwrap_or(Refusal::Draining);
         self.counters.taken += 1;
         self.counters.refused += 1;
         self.counters.reasons.refusals.add(reason);
         let reply = Reply::Refused { hold_off_ms: None, reason };
-        self.effects.push(Effect::Answer { key: client, reply });
+        self.effects.push(Effect::Answer { key: request_key, reply });
     }
 
-    /// Answers a request at once, as its connection is about to be closed: refused where a repeat is harmless, so that its
-    /// client may try elsewhere, else failed.
-    pub(super) fn give_up(&mut self, now: Millis, client: RequestKey) {
-        let Some(held) = self.held.get(&client) else { return };
-        let id = held.id.clone();
+    /// Answers a request at once, as its connection is about to be closed: refuses it where a repeat is
+    /// harmless, so that the client may try elsewhere, and fails it otherwise.
+    pub(super) fn answer_before_close(&mut self, now: Millis, request_key: RequestKey) {
+        let Some(pending) = self.pending.get(&request_key) else { return };
+        let id = pending.id.clone();
         let reason = self.service.refusal(now).unwrap_or(Refusal::Draining);
-        let reply = if self.refusal_is_harmless(held) {
+        let reply = if self.may_refuse(pending) {
             Reply::Refused { hold_off_ms: None, reason }
         } else {
             Reply::Failed(Failure::GivenUp(reason))
@@ -148,32 +154,32 @@
         self.answer(now, &id, reply);
     }
 
-    /// Ends a request without an answer: its client is gone.
-    pub(super) fn aborted(&mut self, now: Millis, client: RequestKey) {
-        let Some(held) = self.release(client) else { return };
+    /// Ends a request without an answer, as its client is gone.
+    pub(super) fn abort(&mut self, now: Millis, request_key: RequestKey) {
+        let Some(pending) = self.remove_pending(request_key) else { return };
         self.counters.aborted += 1;
-        self.results.count(&held.ask.class, ops::Disposition::Aborted);
-        self.clients.remove(&held.id);
-        self.events.push_back(Event::Dropped { id: held.id });
-        self.stop_all(now, held.out, Outcome::Cancelled, true);
+        self.results.count(&pending.request.class, ops::Disposition::Aborted);
+        self.request_keys.remove(&pending.id);
+        self.events.push_back(Event::Dropped { id: pending.id });
+        self.cancel_attempts(now, pending.in_flight, Outcome::Cancelled, true);
     }
 
-    /// Nothing more is owed for a request.
-    pub(super) fn release(&mut self, client: RequestKey) -> Option<Held> {
-        let held = self.held.remove(&client)?;
-        self.held_bytes -= held.ask.body.len();
-        self.open_ids.remove(&held.ask.id);
-        Some(held)
+    /// Removes a request that is owed nothing more.
+    pub(super) fn remove_pending(&mut self, request_key: RequestKey) -> Option<PendingRequest> {
+        let pending = self.pending.remove(&request_key)?;
+        self.pending_body_bytes -= pending.request.body.len();
+        self.open_client_ids.remove(&pending.request.id);
+        Some(pending)
     }
 
-    /// Gives a final answer; later ones for the same request find nothing.
+    /// Gives the final answer. Does nothing if the request has been answered already.
     pub(super) fn answer(&mut self, now: Millis, id: &RequestId, reply: Reply) {
-        let Some(client) = self.clients.remove(id) else { return };
-        let held = self.release(client);
-        let how = match &reply {
+        let Some(request_key) = self.request_keys.remove(id) else { return };
+        let pending = self.remove_pending(request_key);
+        let disposition = match &reply {
             Reply::Served(body) => {
-                *self.buffered.entry(client.conn).or_default() += body.len();
-                self.buffered_all += body.len();
+                *self.unsent_bytes.entry(request_key.conn).or_default() += body.len();
+                self.unsent_total += body.len();
                 self.counters.served += 1;
                 ops::Disposition::Succeeded
             }
@@ -198,91 +204,104 @@
                 ops::Disposition::Aborted
             }
         };
-        let out = held.map_or(Vec::new(), |held| {
-            self.results.count(&held.ask.class, how);
-            held.out
+        let in_flight = pending.map_or(Vec::new(), |pending| {
+            self.results.count(&pending.request.class, disposition);
+            pending.in_flight
         });
-        self.effects.push(Effect::Answer { key: client, reply });
-        self.stop_all(now, out, Outcome::Cancelled, true);
+        self.effects.push(Effect::Answer { key: request_key, reply });
+        self.cancel_attempts(now, in_flight, Outcome::Cancelled, true);
     }
 
-    pub(super) fn send(&mut self, now: Millis, fetch: Fetch) {
-        let Some(client) = self.clients.get(&fetch.id).copied() else { return };
-        let Some(held) = self.held.get_mut(&client) else { return };
-        let (number, ask, alone) = (held.attempts, held.ask.clone(), held.fragile);
-        let cause = attempt_cause(held);
-        held.attempts += 1;
+    /// Starts an attempt that the decision module asked for.
+    pub(super) fn start_attempt(&mut self, now: Millis, fetch: Fetch) {
+        let Some(request_key) = self.request_keys.get(&fetch.id).copied() else { return };
+        let Some(pending) = self.pending.get_mut(&request_key) else { return };
+        let (number, request, fragile) = (pending.attempts_made, pending.request.clone(), pending.fragile);
+        let cause = attempt_cause(pending);
+        pending.attempts_made += 1;
         self.counters.attempts += 1;
         self.counters.reasons.attempts.add(cause);
         self.next_attempt += 1;
         let key = self.next_attempt;
-        held.out.push(key);
-        let unsent_ms = UNSENT_DIALS * self.net.dial_timeout_ms;
+        pending.in_flight.push(key);
+        let unsent_ms = SEND_TIMEOUT_DIALS * self.network.dial_timeout_ms;
         let send_by = now + fetch.within_ms.map_or(unsent_ms, |within| within.min(unsent_ms));
-        let out = Out {
-            client,
+        let attempt = PendingAttempt {
+            request_key,
             id: fetch.id.clone(),
             number,
             cache: fetch.cache.clone(),
             source: fetch.source.clone(),
-            sent: now,
+            started_at: now,
             timeout_ms: fetch.timeout_ms,
             send_by,
             progress: Progress::NotConnected,
-            parked: None,
+            delayed: None,
         };
-        let apart = held.apart;
-        self.out.insert(key, out);
-        let serves = |name: &CacheId| self.members.get(name).is_some_and(|m| m.phase == Phase::Serving);
+        let separated_until = pending.separated_until;
+        self.attempts.insert(key, attempt);
+        let serves = |name: &CacheId| self.machines.get(name).is_some_and(|m| m.phase == Phase::Serving);
         if !serves(&fetch.cache) || !serves(&fetch.source) {
-            return self.end(now, key, Outcome::Moot, None, false);
+            return self.finish_attempt(now, key, Outcome::Moot, None, false);
         }
         if fetch.timeout_ms > 0.0 {
-            self.at(now + fetch.timeout_ms, Due::Limit(key));
+            self.set_timer(now + fetch.timeout_ms, Timer::AttemptTimeout(key));
         }
-        self.at(send_by, Due::Unsent(key));
-        let (member, call) = (
+        self.set_timer(send_by, Timer::SendDeadline(key));
+        let (machine, outgoing) = (
             fetch.cache.clone(),
-            OutgoingRequest { request: ask, fetch, exclusive_connection: alone, send_by, cause },
+            OutgoingRequest { request, fetch, exclusive_connection: fragile, send_by, cause },
         );
         if self.plugins.is_some() {
-            self.watch.sent(&member);
+            self.machine_stats.sent(&machine);
         }
-        match self.out.get_mut(&key).filter(|_| apart > now) {
-            Some(out) => {
-                out.parked = Some(call);
-                self.at(apart, Due::Apart(key));
+        match self.attempts.get_mut(&key).filter(|_| separated_until > now) {
+            Some(attempt) => {
+                attempt.delayed = Some(outgoing);
+                self.set_timer(separated_until, Timer::SeparationOver(key));
             }
-            None => self.effects.push(Effect::Send { attempt: key, machine: member, request: call }),
+            None => self.effects.push(Effect::Send { attempt: key, machine, request: outgoing }),
         }
     }
 
-    /// An attempt that may be at work was given up from this side: the next one keeps apart, where it must.
-    fn keep_apart(&mut self, now: Millis, client: RequestKey) {
+    /// Delays the next attempt of a request, where concurrent attempts are not allowed, because an attempt
+    /// that may be running was given up from this side.
+    fn delay_next_attempt(&mut self, now: Millis, request_key: RequestKey) {
         if !self.settings.limits.second_copies {
-            self.held.entry(client).and_modify(|held| held.apart = now + APART_MS);
+            self.pending
+                .entry(request_key)
+                .and_modify(|pending| pending.separated_until = now + ATTEMPT_SEPARATION_MS);
         }
     }
 
-    /// Gives an attempt up and reports it: as `unsent` where no byte of it has left, else as `sent`.
-    pub(super) fn stop(&mut self, now: Millis, key: AttemptKey, sent: Outcome, unsent: Outcome, last: bool) {
-        let Some(out) = self.out.get(&key) else { return };
-        // One that is partly written will be written to its end, as other frames follow it.
-        let outcome = if out.progress == Progress::NotConnected { unsent } else { sent };
-        if out.progress != Progress::NotConnected {
-            self.keep_apart(now, out.client);
+    /// Gives an attempt up and reports it: as `unsent` if no byte of it has been sent, else as `sent`.
+    pub(super) fn cancel_attempt(
+        &mut self,
+        now: Millis,
+        key: AttemptKey,
+        sent: Outcome,
+        unsent: Outcome,
+        last: bool,
+    ) {
+        let Some(attempt) = self.attempts.get(&key) else { return };
+        // A partly written frame is still written to its end, because other frames follow it on the
+        // connection.
+        let outcome = if attempt.progress == Progress::NotConnected { unsent } else { sent };
+        if attempt.progress != Progress::NotConnected {
+            self.delay_next_attempt(now, attempt.request_key);
         }
         self.effects.push(Effect::Stop { attempt: key });
-        self.end(now, key, outcome, None, last);
+        self.finish_attempt(now, key, outcome, None, last);
     }
 
-    pub(super) fn stop_all(&mut self, now: Millis, keys: Vec<AttemptKey>, sent: Outcome, last: bool) {
+    /// Gives several attempts up.
+    pub(super) fn cancel_attempts(&mut self, now: Millis, keys: Vec<AttemptKey>, sent: Outcome, last: bool) {
         let unsent = if sent == Outcome::Timeout { Outcome::ConnectFailed } else { Outcome::Moot };
-        keys.into_iter().for_each(|key| self.stop(now, key, sent, unsent, last));
+        keys.into_iter().for_each(|key| self.cancel_attempt(now, key, sent, unsent, last));
     }
 
-    /// Takes an attempt off the books and reports it to the module.
-    pub(super) fn end(
+    /// Removes an attempt and reports its end to the decision module. `last`: the request is finished.
+    pub(super) fn finish_attempt(
         &mut self,
         now: Millis,
         key: AttemptKey,
@@ -290,11 +309,11 @@
         answer: Option<&Answer>,
         last: bool,
     ) {
-        let Some(out) = self.out.remove(&key) else { return };
-        if let Some(held) = self.held.get_mut(&out.client) {
-            held.out.retain(|other| *other != key);
-            held.ended = Some(outcome);
-            held.may_have_run |= !outcome.never_ran();
+        let Some(attempt) = self.attempts.remove(&key) else { return };
+        if let Some(pending) = self.pending.get_mut(&attempt.request_key) {
+            pending.in_flight.retain(|other| *other != key);
+            pending.last_outcome = Some(outcome);
+            pending.may_have_run |= !outcome.never_ran();
         }
         let counters = &mut self.counters;
         *match outcome {
@@ -309,11 +328,11 @@
             Outcome::Miss => &mut counters.attempt_miss,
         } += 1;
         let result = AttemptResult {
-            id: out.id,
-            attempt: out.number,
-            cache: out.cache,
+            id: attempt.id,
+            attempt: attempt.number,
+            cache: attempt.cache,
             outcome,
-            waited_ms: now - out.sent,
+            waited_ms: now - attempt.started_at,
             last,
             note: answer.and_then(|answer| answer.note),
             source_wait_ms: answer.and_then(|answer| answer.source_wait_ms),
@@ -323,52 +342,54 @@
                 .and_then(|answer| self.size_kb(answer.body.len())),
         };
         if let Some(plugins) = &mut self.plugins {
-            self.watch.ended(now, &result.cache, &result.report);
-            if let Some(held) = self.held.get(&out.client) {
-                let class = self.classes.get(&held.ask.class).map_or(0, |class| class.0);
-                plugins.outcome(now, &result, &about(&held.ask, class, 0.0), &self.watch);
+            self.machine_stats.ended(now, &result.cache, &result.report);
+            if let Some(pending) = self.pending.get(&attempt.request_key) {
+                let class = self.classes.get(&pending.request.class).map_or(0, |class| class.0);
+                plugins.outcome(now, &result, &about(&pending.request, class, 0.0), &self.machine_stats);
             }
         }
         self.events.push_back(Event::Result(result));
     }
 
-    /// What an answer's bytes amount to as sizes are told: both paces are of the same transfer.
+    /// Converts bytes of an answer to kilobytes as object sizes are given: both rates describe the same
+    /// transfer.
     fn size_kb(&self, bytes: usize) -> Option<f64> {
-        let kb_a_byte = self.settings.flow_kb_per_s? / self.net.flow_bytes_per_s?;
-        Some(bytes as f64 * kb_a_byte).filter(|kb| *kb > 0.0)
+        let kb_per_byte = self.settings.flow_kb_per_s? / self.network.flow_bytes_per_s?;
+        Some(bytes as f64 * kb_per_byte).filter(|kb| *kb > 0.0)
     }
 
-    pub(super) fn ended(&mut self, now: Millis, key: AttemptKey, end: AttemptEnd) {
-        let Some(out) = self.out.get(&key) else { return };
-        let (client, id) = (out.client, out.id.clone());
+    /// Handles the end of an attempt on the network, and answers the request if it was served.
+    pub(super) fn attempt_ended(&mut self, now: Millis, key: AttemptKey, end: AttemptEnd) {
+        let Some(attempt) = self.attempts.get(&key) else { return };
+        let (request_key, id) = (attempt.request_key, attempt.id.clone());
         let mut answer = match end {
             AttemptEnd::Lost(Progress::NotConnected | Progress::PartlyWritten) => {
-                return self.end(now, key, Outcome::ConnectFailed, None, false);
+                return self.finish_attempt(now, key, Outcome::ConnectFailed, None, false);
             }
             AttemptEnd::Lost(_) => {
-                self.keep_apart(now, client); // The connection may have ended from this side.
-                return self.end(now, key, Outcome::Reset, None, false);
+                self.delay_next_attempt(now, request_key); // The connection may have ended from this side.
+                return self.finish_attempt(now, key, Outcome::Reset, None, false);
             }
-            AttemptEnd::NoRoom => return self.end(now, key, Outcome::Moot, None, false),
+            AttemptEnd::NoRoom => return self.finish_attempt(now, key, Outcome::Moot, None, false),
             AttemptEnd::Withheld(_) => {
                 self.counters.attempt_pulled += 1;
-                return self.end(now, key, Outcome::Moot, None, false);
+                return self.finish_attempt(now, key, Outcome::Moot, None, false);
             }
             AttemptEnd::Answer(answer) => answer,
         };
-        let Some(held) = self.held.get(&client) else { return };
-        if answer.unchanged && held.ask.client_tag.is_none() {
-            answer.outcome = Outcome::Error; // No copy was named that could be the one.
+        let Some(pending) = self.pending.get(&request_key) else { return };
+        if answer.unchanged && pending.request.client_tag.is_none() {
+            answer.outcome = Outcome::Error; // The client named no copy that could be valid.
         }
         let served = answer.outcome == Outcome::Ok;
-        let fragile = held.fragile;
-        self.end(now, key, answer.outcome, Some(&answer), served);
+        let fragile = pending.fragile;
+        self.finish_attempt(now, key, answer.outcome, Some(&answer), served);
         if served {
             let reply = if answer.unchanged {
                 Reply::Unchanged
-            } else if self.sheds(client.conn, answer.body.len()) {
+            } else if self.must_shed(request_key.conn, answer.body.len()) {
                 self.counters.shed += 1;
-                // It has run: only where a repeat is harmless may it be called refused.
+                // The request has run: it may be called refused only where a repeat is harmless.
                 if fragile {
                     Reply::Failed(Failure::AnswerDropped)
                 } else {
@@ -381,40 +402,42 @@
         }
     }
 
-    /// Whether an answer of this size must be dropped to stay within the memory limit.
-    pub(super) fn sheds(&self, conn: u64, bytes: usize) -> bool {
-        let (all, memory) = ((self.buffered_all + bytes) as f64, self.net.memory as f64);
-        let slow = self.buffered.get(&conn).is_some_and(|own| *own > SLOW_BYTES);
-        all > memory * if slow { SHED_SLOW } else { SHED_ALL }
+    /// Returns whether an answer of this size must be dropped to stay within the memory limit.
+    pub(super) fn must_shed(&self, conn: u64, bytes: usize) -> bool {
+        let (all, memory) = ((self.unsent_total + bytes) as f64, self.network.memory as f64);
+        let slow = self.unsent_bytes.get(&conn).is_some_and(|own| *own > SLOW_CLIENT_UNSENT_BYTES);
+        all > memory * if slow { SLOW_CLIENT_MEMORY_SHARE } else { ALL_CLIENTS_MEMORY_SHARE }
     }
 
-    pub(super) fn pull(&mut self, now: Millis, key: AttemptKey) {
-        if self.out.get(&key).is_some_and(|out| out.progress == Progress::NotConnected) {
+    /// Gives an attempt up if no byte of it has been sent.
+    pub(super) fn withdraw_unsent(&mut self, now: Millis, key: AttemptKey) {
+        if self.attempts.get(&key).is_some_and(|attempt| attempt.progress == Progress::NotConnected) {
             self.counters.attempt_pulled += 1;
-            self.stop(now, key, Outcome::Cancelled, Outcome::Moot, false);
+            self.cancel_attempt(now, key, Outcome::Cancelled, Outcome::Moot, false);
         }
     }
 
-    /// A request's time is up: its attempts are, too, and if the module then has no answer, there is one.
-    pub(super) fn guard(&mut self, now: Millis, client: RequestKey) {
-        let Some(held) = self.held.get(&client) else { return };
-        self.stop_all(now, held.out.clone(), Outcome::Timeout, false);
-        self.settle(now);
-        if self.held.contains_key(&client) {
+    /// Ends a request at its answer deadline: its attempts time out, and if the decision module then gives no
+    /// answer, the request fails.
+    pub(super) fn answer_at_deadline(&mut self, now: Millis, request_key: RequestKey) {
+        let Some(pending) = self.pending.get(&request_key) else { return };
+        self.cancel_attempts(now, pending.in_flight.clone(), Outcome::Timeout, false);
+        self.run_policy(now);
+        if self.pending.contains_key(&request_key) {
             self.counters.guarded += 1;
-            self.fail(now, client, Failure::OutOfTime);
+            self.fail(now, request_key, Failure::OutOfTime);
         }
     }
 
-    /// Requests of a client connection that are owed an answer.
-    pub(super) fn open_on(&self, conn: u64) -> Vec<RequestKey> {
+    /// Returns the requests of a client connection that are owed an answer.
+    pub(super) fn requests_on(&self, conn: u64) -> Vec<RequestKey> {
         let all = RequestKey { conn, serial: 0 }..=RequestKey { conn, serial: u64::MAX };
-        self.held.range(all).map(|(client, _)| *client).collect()
+        self.pending.range(all).map(|(request_key, _)| *request_key).collect()
     }
 
-    /// Fails a request, whatever the module has in mind with it.
-    pub(super) fn fail(&mut self, now: Millis, client: RequestKey, failure: Failure) {
-        let Some(id) = self.held.get(&client).map(|held| held.id.clone()) else { return };
+    /// Fails a request, whatever the decision module plans for it.
+    pub(super) fn fail(&mut self, now: Millis, request_key: RequestKey, failure: Failure) {
+        let Some(id) = self.pending.get(&request_key).map(|pending| pending.id.clone()) else { return };
         self.events.push_back(Event::Dropped { id: id.clone() });
         self.answer(now, &id, Reply::Failed(failure));
     }
--- a/src/reducer/words.rs
+++ b/src/reducer/words.rs
@@ -1,180 +1,184 @@
-//! What the reducer is told, and what it asks for: requests, attempts, machines; no protocol.
+//! The inputs and effects of the reducer, in terms of requests, attempts and machines, independent of any
+//! protocol.
 
 use super::*;
 use crate::clock::UnixTime;
 use crate::reasons::{AttemptCause, Reason as _, Refusal, Withheld};
 
-/// A request of a client connection.
+/// Identifies a request of a client connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct RequestKey {
-    /// The connection.
+    /// The number of the client connection.
     pub conn: u64,
-    /// Its number there, never used again.
+    /// The request's number on that connection, never reused.
     pub serial: u64,
 }
 
-/// An attempt's number, never used again.
+/// The number of an attempt, never reused.
 pub type AttemptKey = u64;
 
-/// How far an attempt had come. Only the first two prove that nothing ran.
+/// How far an attempt had come. Only the first two prove that the request did not run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Progress {
-    /// No byte of it has left.
+    /// No byte has been sent.
     NotConnected,
-    /// Some bytes have left, not all.
+    /// Some bytes have been sent, but not all.
     PartlyWritten,
-    /// It has left whole: it may have run.
+    /// All bytes have been sent: the request may have run.
     WrittenWhole,
-    /// Its answer has come.
+    /// The answer has come.
     Answered,
 }
 
-/// A client's request as it came.
+/// A client's request as it was received.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct IncomingRequest {
-    /// The client's id for it; passed on.
+    /// The client's id of the request; passed on.
     pub id: String,
-    /// The name of its class.
+    /// The name of the request's class.
     pub class: String,
-    /// How long the client waits, from when it sent the request.
+    /// How long the client waits, counted from when it sent the request.
     pub timeout_ms: Millis,
-    /// Marked as a retry.
+    /// Whether the client marked the request as a retry.
     pub repeat: bool,
-    /// The object.
+    /// The requested object.
     pub object: Option<String>,
-    /// The part of it.
+    /// The requested part of the object.
     pub piece: Option<u64>,
-    /// The object's group.
+    /// The object's purge group.
     pub group: u64,
-    /// The part's size.
+    /// The size of the part.
     pub size_kb: Option<f64>,
-    /// The tag of the client's own copy.
+    /// The tag of the copy that the client holds.
     pub client_tag: Option<String>,
-    /// What a keyed class's repeats are known by; passed on with each attempt.
+    /// The key by which repeats in a keyed class are recognised; passed on with each attempt.
     pub idempotency_key: Option<Box<str>>,
     /// The body; passed on.
     pub body: Vec<u8>,
 }
 
-/// What a machine is asked.
+/// A request to a machine.
 #[derive(Clone, Debug, PartialEq)]
 pub struct OutgoingRequest {
     /// The client's request.
     pub request: std::rc::Rc<IncomingRequest>,
-    /// What the module decided.
+    /// The attempt that the decision module asked for.
     pub fetch: Fetch,
-    /// It must not be repeated, so that it had better share nothing with others that could break.
+    /// Whether the request needs a connection of its own. It must not be repeated, and a connection that it
+    /// shares may break because of another request.
     pub exclusive_connection: bool,
-    /// Its first byte leaves by then, on the clock of the reducer's inputs, or it isn't sent.
+    /// The latest time to send the first byte, on the clock of the reducer's inputs. Later the request is not
+    /// sent.
     pub send_by: Millis,
-    /// Why it is asked.
+    /// Why the attempt is made.
     pub cause: AttemptCause,
 }
 
-/// What a machine answered.
+/// A machine's answer.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Answer {
-    /// How it went.
+    /// How the attempt ended.
     pub outcome: Outcome,
-    /// The bytes.
+    /// The body.
     pub body: Vec<u8>,
-    /// The client's copy is the one.
+    /// Whether the client's copy is still valid.
     pub unchanged: bool,
-    /// What the machine says of it.
+    /// How the machine says that it served the request.
     pub note: Option<Note>,
     /// The source's time to first byte, or to its failure.
     pub source_wait_ms: Option<Millis>,
-    /// A load report that came along.
+    /// A load report that came with the answer.
     pub report: LoadReport,
 }
 
 /// How an attempt ended on the network.
 #[derive(Clone, Debug, PartialEq)]
 pub enum AttemptEnd {
-    /// With an answer.
+    /// The machine answered.
     Answer(Answer),
-    /// Its connection never came up, or broke.
+    /// The connection was not established, or broke.
     Lost(Progress),
-    /// It was not sent, as there was no room for another connection: that says nothing about its machine.
+    /// The request was not sent, as no further connection could be opened. This says nothing about the
+    /// machine.
     NoRoom,
-    /// It was not begun when its turn came: that says nothing about its machine.
+    /// The request was not sent when its turn came. This says nothing about the machine.
     Withheld(Withheld),
 }
 
-/// What the reducer is told.
+/// An input of the reducer.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Input {
-    /// A request has come whole, `age_ms` after its first byte; or it can't be used.
+    /// A request was received whole, or one that can't be used.
     RequestReceived {
-        /// Whose.
+        /// The request's key.
         key: RequestKey,
-        /// What.
+        /// The request, or why it can't be used.
         request: Result<IncomingRequest, &'static str>,
-        /// How long ago it began to come.
+        /// How long ago its first byte was received.
         age_ms: Millis,
     },
-    /// Somebody asks whether this router is ready.
+    /// A client asks whether this router is ready.
     Health {
-        /// Who.
+        /// The request's key.
         key: RequestKey,
     },
-    /// A client has stopped waiting.
+    /// A client has stopped waiting for an answer.
     Aborted {
-        /// For what.
+        /// The request's key.
         key: RequestKey,
     },
-    /// Bytes of answers have left for a client, or will never leave.
+    /// Bytes of answers were sent to a client, or will never be sent.
     Flushed {
-        /// The connection.
+        /// The client connection.
         conn: u64,
-        /// How many.
+        /// The number of bytes.
         bytes: usize,
     },
-    /// A client's connection has ended, with all that was open on it.
+    /// A client connection has ended, with all requests that were open on it.
     ConnectionClosed {
-        /// The connection.
+        /// The client connection.
         conn: u64,
     },
-    /// What comes on a client's connection can't be read or held: what is open on it is to be answered, as nothing more is
-    /// heard of it.
+    /// Data on a client connection can't be read or buffered. Its open requests are answered now, as nothing
+    /// more is read from the connection.
     ConnectionUnreadable {
-        /// The connection.
+        /// The client connection.
         conn: u64,
     },
-    /// A request that was half there is turned away, as its connection is about to be closed.
+    /// A partly received request is refused, as its connection is about to be closed.
     RequestTruncated {
-        /// Whose.
+        /// The request's key.
         key: RequestKey,
     },
-    /// A client's connection is about to be closed: what is open on it is to be answered now.
+    /// A client connection is about to be closed. Its open requests are answered now.
     ConnectionClosing {
-        /// The connection.
+        /// The client connection.
         conn: u64,
     },
-    /// An attempt has come further.
+    /// An attempt has progressed.
     Progressed {
-        /// Which.
+        /// The attempt.
         attempt: AttemptKey,
-        /// How far.
+        /// How far it has come.
         progress: Progress,
     },
     /// An attempt has ended.
     Ended {
-        /// Which.
+        /// The attempt.
         attempt: AttemptKey,
-        /// How.
+        /// How it ended.
         end: AttemptEnd,
     },
     /// A probe has ended.
     Probed {
-        /// Of which machine.
+        /// The probed machine.
         machine: CacheId,
-        /// How.
+        /// How the probe ended.
         outcome: Outcome,
-        /// What it reports.
+        /// The machine's load report.
         report: LoadReport,
     },
-    /// An event of the notice board.
+    /// An event of the discovery service.
     DiscoveryEvent {
         /// The event.
         notice: Notice,
@@ -183,34 +187,34 @@
     },
     /// The wall clock was read.
     ClocksRead {
-        /// Its time now.
+        /// The wall clock's time now.
         unix: UnixTime,
     },
-    /// Time has passed.
+    /// Timers may be due. Comes after all other inputs of an event loop turn.
     TimersDue,
-    /// The operators want it to end.
+    /// The process was asked to terminate.
     Terminate,
-    /// [`Effect::StopListening`] is carried out, and what had come by then is read.
+    /// [`Effect::StopListening`] was carried out, and all requests received by then were read.
     ListenerClosed,
-    /// What operators have taken out, as it is saved for all processes of this router.
+    /// The set of exclusions, as saved for all processes of this router, was loaded.
     ExclusionsLoaded {
-        /// Those machines.
+        /// The excluded machines.
         excluded: Exclusions,
     },
-    /// The answer to [`Effect::SaveExclusion`]: what is out now, or why the change doesn't hold.
+    /// The result of [`Effect::SaveExclusion`].
     ExclusionSaved {
-        /// Who called.
+        /// The operator's call.
         caller: u64,
-        /// What is out, as it is saved.
+        /// The set of exclusions as saved, or why the change was not made.
         result: Result<Exclusions, ops::Verdict>,
     },
-    /// The part of the cold budget that this process may spend, as others of this router run beside it.
+    /// The share of the cold-start budget that this process may spend beside other processes of this router.
     ColdStartShare(f64),
-    /// An operator calls.
+    /// An operator's call was received.
     Operator {
-        /// Who.
+        /// Identifies the call.
         caller: u64,
-        /// What for.
+        /// What the operator asks for.
         call: ops::Call,
     },
 }
@@ -218,18 +222,18 @@
 /// A final answer.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Reply {
-    /// Served.
+    /// The request was served with this body.
     Served(Vec<u8>),
-    /// The client's copy is the one that would be served.
+    /// The client's copy is still valid.
     Unchanged,
-    /// Refused: a retry does no harm.
+    /// The request is refused: a retry does no harm.
     Refused {
-        /// When to come back.
+        /// When the client may retry.
         hold_off_ms: Option<Millis>,
-        /// Why.
+        /// Why the request is refused.
         reason: Refusal,
     },
-    /// Failed.
+    /// The request failed.
     Failed(Failure),
     /// Whether this router is ready.
     Health(bool),
@@ -238,20 +242,21 @@
 /// Why a request failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Failure {
-    /// It is out of form, or asks for what there isn't.
+    /// The request is malformed, or names an unknown class.
     BadRequest(&'static str),
-    /// No further attempt is made, and it may have run.
+    /// No further attempt is made, and the request may have run.
     GivenUp(Refusal),
-    /// It was served, may not be repeated, and its answer had to be dropped to stay within the memory limit.
+    /// The request was served and may not be repeated, but its answer was dropped to stay within the memory
+    /// limit.
     AnswerDropped,
-    /// Its time is up, and nothing has answered it.
+    /// The answer deadline passed without an answer.
     OutOfTime,
-    /// What its client sent on the same connection can't be read or held.
+    /// Later data on the same client connection can't be read or buffered.
     BadConnection,
 }
 
 impl Failure {
-    /// What the client is told.
+    /// Returns the text that the client is sent.
     pub fn message(self) -> &'static str {
         match self {
             Self::BadRequest(why) => why,
@@ -262,7 +267,7 @@
         }
     }
 
-    /// Its name in log fields.
+    /// Returns the failure's name in log fields.
     pub fn key(self) -> &'static str {
         match self {
             Self::BadRequest(_) => "bad_request",
@@ -274,86 +279,87 @@
     }
 }
 
-/// What is to be done.
+/// An effect that the reducer asks for.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
-    /// Answer a client.
+    /// Answer a client's request.
     Answer {
-        /// Whom.
+        /// The request's key.
         key: RequestKey,
-        /// What.
+        /// The answer.
         reply: Reply,
     },
     /// Send an attempt.
     Send {
-        /// Its number.
+        /// The attempt.
         attempt: AttemptKey,
-        /// To which machine; the way there is the address book's.
+        /// The machine to send it to. The address table chooses the address.
         machine: CacheId,
-        /// What to ask.
+        /// The request to send.
         request: OutgoingRequest,
     },
-    /// Give an attempt up: unsend it, or tell the machine.
+    /// Give an attempt up: remove it from the queue, or tell the machine to stop.
     Stop {
-        /// Which.
+        /// The attempt.
         attempt: AttemptKey,
     },
     /// Probe a machine.
     Probe {
-        /// Which.
+        /// The machine.
         machine: CacheId,
     },
-    /// The notice board has spoken of a machine; `None`: it is forgotten.
+    /// Update what discovery reports of a machine, or forget the machine if `None`.
     SetListing {
-        /// Which.
+        /// The machine.
         machine: CacheId,
-        /// What it says.
+        /// What discovery reports.
         listing: Option<Listing>,
     },
-    /// Close connections to a machine once they carry nothing.
+    /// Close the connections to a machine once they carry no request.
     Retire {
-        /// Which.
+        /// The machine.
         machine: CacheId,
     },
-    /// A machine has started anew: what was connected before is dead.
+    /// A machine has restarted: connections from before its start are dead.
     MachineRestarted {
-        /// Which.
+        /// The machine.
         machine: CacheId,
         /// When it started.
         at: Millis,
     },
-    /// Save for all processes that a machine is out, or back: [`Input::ExclusionSaved`] says whether that holds.
+    /// Save for all processes of this router whether a machine is excluded. [`Input::ExclusionSaved`] brings
+    /// the result.
     SaveExclusion {
-        /// Who called.
+        /// The operator's call.
         caller: u64,
-        /// Which machine.
+        /// The machine's name.
         name: String,
-        /// Whether it is out.
+        /// Whether the machine is excluded.
         excluded: bool,
     },
-    /// Answer an operator.
+    /// Answer an operator's call.
     AnswerOperator {
-        /// Whom.
+        /// The operator's call.
         caller: u64,
-        /// What.
+        /// The answer.
         verdict: ops::Verdict,
     },
-    /// Tell an operator what this router has done.
+    /// Answer an operator's telemetry call.
     SendTelemetry {
-        /// Whom.
+        /// The operator's call.
         caller: u64,
-        /// What.
+        /// The figures.
         telemetry: Box<ops::Telemetry>,
     },
-    /// A line for the operators.
+    /// Write a log line.
     Log(String),
-    /// Take no more connections, read what has come by now, and say [`Input::ListenerClosed`].
+    /// Accept no more connections, read what was received by now, and report [`Input::ListenerClosed`].
     StopListening,
-    /// The time in which an evacuated router may keep its clients is over: count those that are still there.
+    /// An evacuated router may keep no more clients: count those that are still connected.
     AuditDrain,
-    /// All is answered: send what is left and end, at the latest by then.
+    /// All requests are answered: flush the answers and exit.
     Exit {
-        /// When.
+        /// The latest time to exit.
         by: Millis,
     },
 }
