--- a/src/service/mod.rs
+++ b/src/service/mod.rs
@@ -1,18 +1,19 @@
-//! A router's service as one pure state machine: what it owes to clients and operators in each state.
+//! The state machine of a router's service: what it offers clients and operators in each state.
 //!
-//! Owns the state; sockets, requests and machines are others'. Each input gives the next state, and what follows
-//! (whether it is ready, what becomes of a client's connection) is read off it.
+//! The state machine is pure: sockets, requests and machines belong to other modules. Each input leads to the
+//! next state, and the consequences (readiness, what happens to client connections) are derived from the
+//! state.
 //!
 //! | state | `/alive`, `/api/ready` | new connections | requests and connections ([`Admission`]) |
 //! | --- | --- | --- | --- |
-//! | starting, no machine known | no | taken | taken and kept |
-//! | serving | yes | taken | taken and kept |
-//! | evacuating | no | taken: they come until the front has heard of it | by the age of the call, [`Admission`] in its order |
-//! | ending | no | taken for a while | taken and kept, or as the evacuation before it has it |
-//! | shut | no | not taken | refused, and closed at rest; later what is left is answered and closed |
+//! | starting, no machine known | no | accepted | accepted and kept |
+//! | serving | yes | accepted | accepted and kept |
+//! | evacuating | no | accepted, as clients come until health checks fail | by the evacuation's age |
+//! | terminating | no | accepted for a while | accepted and kept, or as in an evacuation before it |
+//! | shutting down | no | not accepted | refused, idle ones closed; later all are answered and closed |
 //!
-//! Each state that is to be left empty has a time by which it is, whatever clients do: none waits for a rest that a client
-//! need not grant.
+//! Each state that must lose its clients has a deadline of its own. None waits for connections to become
+//! idle, as clients need not let them.
 
 mod exclusions;
 
@@ -20,71 +21,73 @@
 use crate::reasons::Refusal;
 pub use exclusions::{Exclusions, TooMany, MAX_EXCLUSIONS};
 
-/// The front has heard a no by then, and clients bring nothing new: what is at rest may be closed.
-const HEARD_MS: Millis = 500.0;
-/// From then on an evacuated router refuses what comes, so that a connection that is never at rest becomes so. What came
-/// before is over [`RECENT_MS`] old by the end of the drain.
-const REFUSE_MS: Millis = 1800.0;
-/// From then on an evacuated router closes the connections on which requests still come.
-const CLOSE_MS: Millis = 3500.0;
-/// So long after an evacuation no client's connection may be idle, or carry a request that came within the last
-/// [`RECENT_MS`] (the operators' page of days, "Draining a request router").
+/// Time after which an evacuated router closes idle connections: health checks have failed by then, and no
+/// new clients come.
+const CLOSE_IDLE_AFTER_MS: Millis = 500.0;
+/// Time after which an evacuated router refuses requests, so that connections that are never idle become
+/// idle. Requests from before are older than [`RECENT_MS`] by the end of the drain.
+const REFUSE_AFTER_MS: Millis = 1800.0;
+/// Time after which an evacuated router closes connections on which requests still arrive.
+const CLOSE_AFTER_MS: Millis = 3500.0;
+/// Time after the start of an evacuation at which no client connection may be idle, or carry a request that
+/// arrived within the last [`RECENT_MS`] (the operators' guide, "Draining a request router").
 pub const DRAINED_BY_MS: Millis = 4000.0;
-/// See [`DRAINED_BY_MS`].
+/// The age below which a request counts as recent, see [`DRAINED_BY_MS`].
 pub const RECENT_MS: Millis = 2000.0;
 
-/// What is done with requests that come, and with clients' connections; each step takes more away than the one before.
+/// How requests and client connections are treated, in order of strictness.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Admission {
-    /// Requests are taken, connections are kept.
+    /// Requests are accepted, connections are kept.
     Open,
-    /// Requests are taken; a connection at rest is closed.
+    /// Requests are accepted, idle connections are closed.
     CloseIdle,
-    /// Requests are refused as they come; a connection at rest is closed.
+    /// Requests are refused as they arrive, idle connections are closed.
     Refuse,
-    /// What is open on a connection is answered, what is half read on it is refused, and it is closed.
+    /// Open requests are answered, partly received requests are refused, and all connections are closed.
     Close,
 }
 
 impl Admission {
-    /// What an evacuation so long ago has come to.
-    fn of_evacuation(age_ms: Millis) -> Self {
+    /// Returns the admission of a router that was evacuated this long ago.
+    fn during_evacuation(age_ms: Millis) -> Self {
         match age_ms {
-            age if age >= CLOSE_MS => Self::Close,
-            age if age >= REFUSE_MS => Self::Refuse,
-            age if age >= HEARD_MS => Self::CloseIdle,
+            age if age >= CLOSE_AFTER_MS => Self::Close,
+            age if age >= REFUSE_AFTER_MS => Self::Refuse,
+            age if age >= CLOSE_IDLE_AFTER_MS => Self::CloseIdle,
             _ => Self::Open,
         }
     }
 }
 
-/// An end that was asked for.
+/// A termination that was asked for.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Termination {
-    /// When it was.
+    /// When it was asked for.
     at: Millis,
-    /// By then all is answered, and connections are closed.
+    /// When all requests are answered and connections are closed.
     close_at: Millis,
-    /// Since when it was evacuated before: that goes on.
-    evacuated: Option<Millis>,
+    /// The start of an evacuation before the termination, which goes on.
+    evacuating_since: Option<Millis>,
 }
 
-/// Where a router stands.
+/// The state of the service.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub enum Service {
-    /// It takes clients.
+    /// Accepts clients.
     #[default]
     Serving,
-    /// Operators have it emptied, since then.
+    /// Is being emptied by operators, since this time.
     Evacuating(Millis),
-    /// It was told to end.
+    /// Was asked to terminate, and still accepts connections and requests.
     Terminating(Termination),
-    /// It was told to end, and takes nothing more.
+    /// Was asked to terminate, and accepts nothing more.
     ShuttingDown(Termination),
 }
 
 impl Service {
-    /// Operators have it emptied. Asked twice, the first time counts; one that ends goes on to end.
+    /// Starts an evacuation. A repeated call keeps the first start, and a terminating router keeps
+    /// terminating.
     pub fn evacuate(&mut self, now: Millis) {
         match self {
             Self::Serving => *self = Self::Evacuating(now),
@@ -92,7 +95,7 @@
         }
     }
 
-    /// It takes clients again; false if it ends and can't.
+    /// Accepts clients again. Returns false if the router is terminating.
     pub fn rejoin(&mut self) -> bool {
         match self {
             Self::Serving | Self::Evacuating(_) => *self = Self::Serving,
@@ -101,49 +104,54 @@
         true
     }
 
-    /// It is told to end, with so long to answer what is open; false if it was before.
-    pub fn terminate(&mut self, now: Millis, patience_ms: Millis) -> bool {
-        let evacuated = match self {
+    /// Starts the termination, with this much time to answer open requests. Returns false if it has started
+    /// before.
+    pub fn terminate(&mut self, now: Millis, answer_window_ms: Millis) -> bool {
+        let evacuating_since = match self {
             Self::Serving => None,
             Self::Evacuating(since) => Some(*since),
             Self::Terminating(_) | Self::ShuttingDown(_) => return false,
         };
-        *self = Self::Terminating(Termination { at: now, close_at: now + patience_ms, evacuated });
+        *self =
+            Self::Terminating(Termination { at: now, close_at: now + answer_window_ms, evacuating_since });
         true
     }
 
-    /// All that came in time has been taken: nothing more is. Only one that ends is shut.
+    /// Accepts nothing more, once all that came in time has been accepted. Only a terminating router shuts
+    /// down.
     pub fn shut_down(&mut self) {
         match self {
-            Self::Terminating(end) => *self = Self::ShuttingDown(*end),
+            Self::Terminating(termination) => *self = Self::ShuttingDown(*termination),
             Self::Serving | Self::Evacuating(_) | Self::ShuttingDown(_) => {}
         }
     }
 
-    /// What is done now with what comes. An end takes nothing back of an evacuation.
+    /// Returns how requests and connections are treated now. A termination relaxes nothing of an evacuation.
     pub fn admission(&self, now: Millis) -> Admission {
-        let evacuation =
-            self.evacuating_since().map_or(Admission::Open, |since| Admission::of_evacuation(now - since));
+        let evacuation = self
+            .evacuating_since()
+            .map_or(Admission::Open, |since| Admission::during_evacuation(now - since));
         match self {
             Self::Serving | Self::Evacuating(_) | Self::Terminating(_) => evacuation,
-            Self::ShuttingDown(end) if now >= end.close_at => Admission::Close,
+            Self::ShuttingDown(termination) if now >= termination.close_at => Admission::Close,
             Self::ShuttingDown(_) => evacuation.max(Admission::Refuse),
         }
     }
 
-    /// When the intake changes next by the clock alone.
+    /// Returns when the admission changes next without another input.
     pub fn next_admission_change(&self, now: Millis) -> Option<Millis> {
-        let evacuation = [HEARD_MS, REFUSE_MS, CLOSE_MS];
-        let steps = self.evacuating_since().into_iter().flat_map(|since| evacuation.map(|step| since + step));
+        let delays_ms = [CLOSE_IDLE_AFTER_MS, REFUSE_AFTER_MS, CLOSE_AFTER_MS];
+        let steps =
+            self.evacuating_since().into_iter().flat_map(|since| delays_ms.map(|delay_ms| since + delay_ms));
         let close_at = match self {
-            Self::ShuttingDown(end) => Some(end.close_at),
+            Self::ShuttingDown(termination) => Some(termination.close_at),
             Self::Serving | Self::Evacuating(_) | Self::Terminating(_) => None,
         };
-        let takes_more = |at: &Millis| *at > now && self.admission(*at) > self.admission(now);
-        steps.chain(close_at).filter(takes_more).reduce(f64::min)
+        let stricter = |at: &Millis| *at > now && self.admission(*at) > self.admission(now);
+        steps.chain(close_at).filter(stricter).reduce(f64::min)
     }
 
-    /// Why a request that is read now is refused, if it is.
+    /// Returns why a request that is read now is refused, if it is.
     pub fn refusal(&self, now: Millis) -> Option<Refusal> {
         if self.admission(now) < Admission::Refuse {
             return None;
@@ -154,45 +162,45 @@
         }
     }
 
-    /// Whether a connection that is not at rest is closed now, given when the latest of its requests began to come (`None`:
-    /// nothing is owed on it, but half a record has come). One on which nothing has come since an evacuated router refuses
-    /// requests may wait for its answers.
+    /// Returns whether a connection that is not idle is closed now. `latest` is when the latest of its
+    /// requests began to arrive, `None` if no request is open but part of a record has arrived. A connection
+    /// on which nothing has arrived since requests are refused may wait for its answers.
     pub fn closes_busy(&self, now: Millis, latest: Option<Millis>) -> bool {
         if self.admission(now) < Admission::Close {
             return false;
         }
         match self {
-            Self::ShuttingDown(end) if now >= end.close_at => true,
+            Self::ShuttingDown(termination) if now >= termination.close_at => true,
             Self::Serving | Self::Evacuating(_) | Self::Terminating(_) | Self::ShuttingDown(_) => {
-                let refused_from = self.evacuating_since().map_or(0.0, |since| since + REFUSE_MS);
+                let refused_from = self.evacuating_since().map_or(0.0, |since| since + REFUSE_AFTER_MS);
                 latest.is_none_or(|latest| latest >= refused_from)
             }
         }
     }
 
-    /// Since when operators have it emptied, if they do.
+    /// Returns the start of the evacuation, if the router is being emptied.
     pub fn evacuating_since(&self) -> Option<Millis> {
         match self {
             Self::Serving => None,
             Self::Evacuating(since) => Some(*since),
-            Self::Terminating(end) | Self::ShuttingDown(end) => end.evacuated,
+            Self::Terminating(termination) | Self::ShuttingDown(termination) => termination.evacuating_since,
         }
     }
 
-    /// Since when it ends.
+    /// Returns when the termination was asked for.
     pub fn terminating_since(&self) -> Option<Millis> {
         match self {
-            Self::Terminating(end) | Self::ShuttingDown(end) => Some(end.at),
+            Self::Terminating(termination) | Self::ShuttingDown(termination) => Some(termination.at),
             Self::Serving | Self::Evacuating(_) => None,
         }
     }
 
-    /// Whether clients are wanted, as far as it is this state's to say.
+    /// Returns whether clients are accepted, as far as this state decides it.
     pub fn accepts_clients(&self) -> bool {
         *self == Self::Serving
     }
 
-    /// Its name in log lines.
+    /// Returns the state's name in log lines.
     pub fn key(&self) -> &'static str {
         match self {
             Self::Serving => "serving",
--- a/tests/model.rs
+++ b/tests/model.rs
@@ -1,7 +1,7 @@
-//! Model checking of what two processes of one router share: an operator that calls either at any moment, an upgrade, and
-//! either process dying at any step. The file's form and the changes to it are the daemon's own functions; phases and the
-//! order of steps are the model's, written after `runtime::handover`. Each property is also shown to fail where one of
-//! those steps is left out.
+//! Model checking of the state that two processes of one router share, with an operator who calls either
+//! process at any moment, an upgrade, and a process that dies at any step. The file format and the changes to
+//! the file are the daemon's own functions. The phases and the order of steps are modelled after
+//! `runtime::handover`. Each property is also shown to fail if one of these steps is left out.
 
 use frostturn::clock::{BootTime, UnixTime};
 use frostturn::handover::{Now, State};
@@ -14,19 +14,19 @@
 const NOW: Now = Now { boot: BootTime(1e9), unix: UnixTime(1e12) };
 const NAMES: [&str; 2] = ["s-1", "s-2"];
 
-/// Which step is left out or out of order.
+/// A step that is left out or out of order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Fault {
     None,
-    /// The operator hears yes before the file is written.
-    AnswersFirst,
-    /// Nobody holds the lock.
+    /// The operator's call is confirmed before the file is written.
+    ConfirmsBeforeWriting,
+    /// No process takes the lock.
     NoLock,
     /// A process serves before it has read the file.
-    StartsBlind,
-    /// The old process is told to end before the new one has said yes.
-    EndsEarly,
-    /// A process that has ended keeps the lock.
+    ServesBeforeReading,
+    /// The old process is terminated before the new one is ready.
+    TerminatesEarly,
+    /// A process that has exited keeps the lock.
     KeepsLock,
 }
 
@@ -35,16 +35,16 @@
     Absent,
     Starting,
     Serving,
-    Ending,
-    Gone,
+    Terminating,
+    Exited,
 }
 
-/// How far a call has come.
+/// The progress of an operator's call.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Step {
-    Asked,
+    Requested,
     Locked,
-    /// What is to be written.
+    /// Holds the bytes to write.
     Changed(Vec<u8>),
     Written,
 }
@@ -52,17 +52,17 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Job {
     name: usize,
-    out: bool,
+    excluded: bool,
     step: Step,
-    /// Another process has written the opposite since: that is the later word.
+    /// Another process has written the opposite change since, which therefore is the later one.
     superseded: bool,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Process {
     phase: Phase,
-    /// What it sends nothing to.
-    out: BTreeSet<usize>,
+    /// The machines to which this process sends nothing.
+    excluded: BTreeSet<usize>,
     job: Option<Job>,
 }
 
@@ -71,19 +71,19 @@
     file: Vec<u8>,
     lock: Option<usize>,
     processes: [Process; 2],
-    /// Answered with yes, and no include has been written since.
-    promised: BTreeSet<usize>,
+    /// Exclusions that were confirmed, and not undone by a written inclusion since.
+    confirmed: BTreeSet<usize>,
     calls: u8,
     deaths: u8,
-    /// Somebody served a machine that was promised to get nothing.
-    served_against: bool,
+    /// Whether a process started to serve without knowing a confirmed exclusion.
+    served_excluded: bool,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum Act {
     Call(usize, usize, bool),
-    Go(usize),
-    Look(usize),
+    Advance(usize),
+    ReadFile(usize),
     Start,
     Ready,
     Terminate,
@@ -95,39 +95,39 @@
     fault: Fault,
 }
 
-fn names(file: &[u8]) -> Option<BTreeSet<usize>> {
+fn excluded_in(file: &[u8]) -> Option<BTreeSet<usize>> {
     let state = State::read(file, LISTEN, BOOT, NOW).ok()?;
     Some((0..NAMES.len()).filter(|at| state.excluded().contains(NAMES[*at])).collect())
 }
 
 impl Router {
-    /// The next step of a call.
-    fn go(&self, world: &mut World, at: usize) -> Option<()> {
-        let ends = world.processes[at].phase == Phase::Ending;
+    /// Takes the next step of a call.
+    fn advance(&self, world: &mut World, at: usize) -> Option<()> {
+        let terminating = world.processes[at].phase == Phase::Terminating;
         let job = world.processes[at].job.clone()?;
         let step = match job.step {
-            Step::Asked if self.fault == Fault::NoLock => Step::Locked,
-            Step::Asked if world.lock.is_some() => return None,
-            Step::Asked => {
+            Step::Requested if self.fault == Fault::NoLock => Step::Locked,
+            Step::Requested if world.lock.is_some() => return None,
+            Step::Requested => {
                 world.lock = Some(at);
                 Step::Locked
             }
             Step::Locked => {
                 let mut state = State::read(&world.file, LISTEN, BOOT, NOW).ok()?;
-                state.call(at as u64, ends, NAMES[job.name], job.out, NOW.boot).ok()?;
-                if self.fault == Fault::AnswersFirst {
-                    self.answer(world, at, &job);
+                state.call(at as u64, terminating, NAMES[job.name], job.excluded, NOW.boot).ok()?;
+                if self.fault == Fault::ConfirmsBeforeWriting {
+                    self.confirm(world, at, &job);
                 }
                 Step::Changed(state.write(NOW)?)
             }
             Step::Changed(bytes) => {
                 world.file = bytes;
-                if !job.out {
-                    world.promised.remove(&job.name);
+                if !job.excluded {
+                    world.confirmed.remove(&job.name);
                 }
                 for other in &mut world.processes {
                     if let Some(other) = other.job.as_mut().filter(|other| other.name == job.name) {
-                        other.superseded |= other.step == Step::Written && other.out != job.out;
+                        other.superseded |= other.step == Step::Written && other.excluded != job.excluded;
                     }
                 }
                 if world.lock == Some(at) {
@@ -136,8 +136,8 @@
                 Step::Written
             }
             Step::Written => {
-                if self.fault != Fault::AnswersFirst {
-                    self.answer(world, at, &job);
+                if self.fault != Fault::ConfirmsBeforeWriting {
+                    self.confirm(world, at, &job);
                 }
                 world.processes[at].job = None;
                 return Some(());
@@ -147,16 +147,16 @@
         Some(())
     }
 
-    /// The reducer takes over what is saved, and the operator hears yes.
-    fn answer(&self, world: &mut World, at: usize, job: &Job) {
+    /// The reducer applies the saved state, and the operator's call is confirmed.
+    fn confirm(&self, world: &mut World, at: usize, job: &Job) {
         let process = &mut world.processes[at];
-        if job.out {
-            process.out.insert(job.name);
+        if job.excluded {
+            process.excluded.insert(job.name);
         } else {
-            process.out.remove(&job.name);
+            process.excluded.remove(&job.name);
         }
-        if job.out && !job.superseded {
-            world.promised.insert(job.name);
+        if job.excluded && !job.superseded {
+            world.confirmed.insert(job.name);
         }
     }
 }
@@ -168,32 +168,32 @@
     fn init_states(&self) -> Vec<World> {
         let mut state = State::new(LISTEN, BOOT);
         state.say(0, false, NOW.boot);
-        let process = |phase| Process { phase, out: BTreeSet::new(), job: None };
+        let process = |phase| Process { phase, excluded: BTreeSet::new(), job: None };
         vec![World {
             file: state.write(NOW).expect("small"),
             lock: None,
             processes: [process(Phase::Serving), process(Phase::Absent)],
-            promised: BTreeSet::new(),
+            confirmed: BTreeSet::new(),
             calls: 3,
             deaths: 1,
-            served_against: false,
+            served_excluded: false,
         }]
     }
 
     fn actions(&self, world: &World, actions: &mut Vec<Act>) {
         for at in 0..2 {
             let process = &world.processes[at];
-            let runs = matches!(process.phase, Phase::Serving | Phase::Ending);
+            let runs = matches!(process.phase, Phase::Serving | Phase::Terminating);
             if runs && process.job.is_some() {
-                actions.push(Act::Go(at));
+                actions.push(Act::Advance(at));
             } else if runs {
-                actions.push(Act::Look(at));
+                actions.push(Act::ReadFile(at));
                 if world.calls > 0 {
                     for name in 0..NAMES.len() {
                         actions.extend([Act::Call(at, name, true), Act::Call(at, name, false)]);
                     }
                 }
-                if process.phase == Phase::Ending {
+                if process.phase == Phase::Terminating {
                     actions.push(Act::Exit(at));
                 }
             }
@@ -206,9 +206,9 @@
             Phase::Starting => actions.push(Act::Ready),
             _ => {}
         }
-        let yes = world.processes[1].phase == Phase::Serving
-            || (self.fault == Fault::EndsEarly && world.processes[1].phase == Phase::Starting);
-        if yes && world.processes[0].phase == Phase::Serving {
+        let new_is_ready = world.processes[1].phase == Phase::Serving
+            || (self.fault == Fault::TerminatesEarly && world.processes[1].phase == Phase::Starting);
+        if new_is_ready && world.processes[0].phase == Phase::Serving {
             actions.push(Act::Terminate);
         }
     }
@@ -216,32 +216,33 @@
     fn next_state(&self, last: &World, act: Act) -> Option<World> {
         let mut world = last.clone();
         match act {
-            Act::Call(at, name, out) => {
+            Act::Call(at, name, excluded) => {
                 world.calls -= 1;
-                world.processes[at].job = Some(Job { name, out, step: Step::Asked, superseded: false });
+                world.processes[at].job =
+                    Some(Job { name, excluded, step: Step::Requested, superseded: false });
             }
-            Act::Go(at) => self.go(&mut world, at)?,
-            Act::Look(at) => world.processes[at].out = names(&world.file)?,
+            Act::Advance(at) => self.advance(&mut world, at)?,
+            Act::ReadFile(at) => world.processes[at].excluded = excluded_in(&world.file)?,
             Act::Start => world.processes[1].phase = Phase::Starting,
             Act::Ready => {
-                if self.fault != Fault::StartsBlind {
-                    world.processes[1].out = names(&world.file)?;
+                if self.fault != Fault::ServesBeforeReading {
+                    world.processes[1].excluded = excluded_in(&world.file)?;
                 }
                 world.processes[1].phase = Phase::Serving;
-                world.served_against |= !world.promised.is_subset(&world.processes[1].out);
+                world.served_excluded |= !world.confirmed.is_subset(&world.processes[1].excluded);
             }
             Act::Terminate => {
                 let mut service = Service::default();
                 assert!(
                     service.accepts_clients() && service.terminate(1.0, 1000.0) && !service.accepts_clients()
                 );
-                world.processes[0].phase = Phase::Ending;
+                world.processes[0].phase = Phase::Terminating;
             }
             Act::Exit(at) | Act::Die(at) => {
                 world.deaths -= u8::from(matches!(act, Act::Die(_)));
-                world.processes[at] = Process { phase: Phase::Gone, out: BTreeSet::new(), job: None };
+                world.processes[at] = Process { phase: Phase::Exited, excluded: BTreeSet::new(), job: None };
                 if world.lock == Some(at) && self.fault != Fault::KeepsLock {
-                    world.lock = None; // The system takes it back.
+                    world.lock = None; // The operating system releases the lock.
                 }
             }
         }
@@ -250,57 +251,57 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("a yes is never forgotten", |_, world: &World| {
-                names(&world.file).is_some_and(|saved| world.promised.is_subset(&saved))
+            Property::always("a confirmed exclusion is never lost", |_, world: &World| {
+                excluded_in(&world.file).is_some_and(|saved| world.confirmed.is_subset(&saved))
             }),
-            Property::always("nor served against by a process that starts", |_, world: &World| {
-                !world.served_against
+            Property::always("a starting process respects confirmed exclusions", |_, world: &World| {
+                !world.served_excluded
             }),
-            Property::always("never nobody accepting", |_, world: &World| {
+            Property::always("some process always accepts clients", |_, world: &World| {
                 let serves = world.processes.iter().any(|process| process.phase == Phase::Serving);
                 serves || world.deaths == 0
             }),
-            Property::always("a call is never stuck behind nobody", |_, world: &World| {
+            Property::always("a call never waits for a lock whose holder has exited", |_, world: &World| {
                 let waits = |at: &usize| {
                     let job = world.processes[*at].job.as_ref();
-                    job.is_some_and(|job| job.step == Step::Asked) && world.lock.is_some()
+                    job.is_some_and(|job| job.step == Step::Requested) && world.lock.is_some()
                 };
-                let moves = |at: usize| world.processes[at].phase != Phase::Gone;
-                !(0..2).any(|at| waits(&at)) || world.lock.is_some_and(moves)
+                let holder_runs = |at: usize| world.processes[at].phase != Phase::Exited;
+                !(0..2).any(|at| waits(&at)) || world.lock.is_some_and(holder_runs)
             }),
-            Property::eventually("calls end, and one process is left or none", |_, world: &World| {
-                let at_rest = world.processes.iter().all(|process| process.job.is_none());
-                // Where the new one has died, the old one stays.
-                at_rest && world.processes.iter().any(|process| process.phase == Phase::Gone)
+            Property::eventually("calls complete, and at most one process remains", |_, world: &World| {
+                let no_calls = world.processes.iter().all(|process| process.job.is_none());
+                // The old process remains if the new one has died.
+                no_calls && world.processes.iter().any(|process| process.phase == Phase::Exited)
             }),
         ]
     }
 }
 
-/// The properties that don't hold, by name.
-fn broken(fault: Fault) -> Vec<&'static str> {
+/// Returns the names of the properties that do not hold.
+fn failing_properties(fault: Fault) -> Vec<&'static str> {
     let checker = Router { fault }.checker().threads(2).finish_when(HasDiscoveries::All).spawn_bfs().join();
-    assert!(checker.unique_state_count() > 1000, "it has looked at more than the beginning");
-    let mut broken: Vec<&'static str> = checker.discoveries().into_keys().collect();
-    broken.sort_unstable();
-    broken
+    assert!(checker.unique_state_count() > 1000, "more than the initial states were explored");
+    let mut failing_properties: Vec<&'static str> = checker.discoveries().into_keys().collect();
+    failing_properties.sort_unstable();
+    failing_properties
 }
 
 #[test]
-fn whatever_the_operator_does_and_whoever_dies_a_yes_holds_and_somebody_accepts() {
-    assert_eq!(broken(Fault::None), Vec::<&str>::new());
+fn confirmed_exclusions_hold_and_a_process_accepts_whatever_happens() {
+    assert_eq!(failing_properties(Fault::None), Vec::<&str>::new());
 }
 
 #[test]
-fn each_property_fails_where_its_step_is_left_out() {
+fn each_property_fails_if_its_step_is_left_out() {
     for (fault, property) in [
-        (Fault::AnswersFirst, "a yes is never forgotten"),
-        (Fault::NoLock, "a yes is never forgotten"),
-        (Fault::StartsBlind, "nor served against by a process that starts"),
-        (Fault::EndsEarly, "never nobody accepting"),
-        (Fault::KeepsLock, "a call is never stuck behind nobody"),
-        (Fault::KeepsLock, "calls end, and one process is left or none"),
+        (Fault::ConfirmsBeforeWriting, "a confirmed exclusion is never lost"),
+        (Fault::NoLock, "a confirmed exclusion is never lost"),
+        (Fault::ServesBeforeReading, "a starting process respects confirmed exclusions"),
+        (Fault::TerminatesEarly, "some process always accepts clients"),
+        (Fault::KeepsLock, "a call never waits for a lock whose holder has exited"),
+        (Fault::KeepsLock, "calls complete, and at most one process remains"),
     ] {
-        assert!(broken(fault).contains(&property), "{fault:?}");
+        assert!(failing_properties(fault).contains(&property), "{fault:?}");
     }
 }
