--- a/src/counters.rs
+++ b/src/counters.rs
@@ -1,23 +1,23 @@
-//! Figures of what the router takes in, sends and answers; printed on a signal and at exit.
+//! Counters of requests, attempts, connections and faults, printed on a signal and at exit.
 
 use crate::reasons::{AttemptCause, ClientClose, EndpointClose, ReasonCounts, Refusal, Violation, Withheld};
 
-/// Closes, refusals, failures and attempts by their reasons.
+/// Counters of closes, refusals, failures, attempts and violations by reason.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ByReason {
-    /// Client connections that ended.
+    /// Client connections that were closed.
     pub client_closes: ReasonCounts<ClientClose>,
-    /// Connections to endpoints that ended, or never came up.
+    /// Connections to endpoints that were closed, or not established.
     pub endpoint_closes: ReasonCounts<EndpointClose>,
-    /// Requests refused.
+    /// Refused requests.
     pub refusals: ReasonCounts<Refusal>,
-    /// Requests failed since no further attempt was made and they may have run.
+    /// Requests that failed because no further attempt was made and they may have run.
     pub failures: ReasonCounts<Refusal>,
     /// Attempts.
     pub attempts: ReasonCounts<AttemptCause>,
-    /// Attempts that were not begun as their turn came.
+    /// Attempts that were withheld when their turn came.
     pub withheld: ReasonCounts<Withheld>,
-    /// Rules that this process has seen itself break.
+    /// Violations that this process detected.
     pub violations: ReasonCounts<Violation>,
 }
 
@@ -36,11 +36,11 @@
 
 macro_rules! counters {
     ($($(#[$doc:meta])* $name:ident,)*) => {
-        /// Counts since the start.
+        /// Counters since the start of the process.
         #[derive(Clone, Debug, Default, PartialEq, Eq)]
         pub struct Counters {
             $($(#[$doc])* pub $name: u64,)*
-            /// The same and more by reason.
+            /// The same events, and more, by reason.
             pub reasons: ByReason,
         }
 
@@ -55,78 +55,78 @@
 }
 
 counters! {
-    /// Requests taken from clients.
+    /// Requests accepted from clients.
     taken,
-    /// Of these, those that a client marked as a retry.
+    /// Accepted requests that their client marked as a retry.
     repeats,
-    /// Final answers: served with a body.
+    /// Requests served with a body.
     served,
-    /// Served by saying that the client's copy is the one.
+    /// Requests answered with the confirmation that the client's copy is still valid.
     unchanged,
-    /// Refused.
+    /// Requests refused.
     refused,
-    /// Failed.
+    /// Requests failed.
     failed,
     /// Requests that their client gave up.
     aborted,
-    /// Requests with missing or bad fields, failed at once.
+    /// Requests with missing or malformed fields, which fail at once.
     bad_requests,
-    /// Requests answered by the guard, since nothing else had.
+    /// Requests failed at their answer deadline because nothing else had answered them.
     guarded,
-    /// Requests refused for want of memory or room.
+    /// Requests refused for lack of memory or capacity.
     shed,
-    /// Attempts asked for by the module.
+    /// Attempts that the decision module asked for.
     attempts,
-    /// Attempts that served.
+    /// Attempts that served the request.
     attempt_ok,
-    /// Attempts that found nothing suitable.
+    /// Attempts that ended with a miss.
     attempt_miss,
-    /// Attempts turned away.
+    /// Attempts that were turned away.
     attempt_full,
     /// Attempts that ended with an error.
     attempt_error,
-    /// Attempts that ran out of time.
+    /// Attempts that timed out.
     attempt_timeout,
-    /// Attempts that found no connection.
+    /// Attempts that got no connection.
     attempt_unconnected,
-    /// Attempts whose connection broke after they were written whole.
+    /// Attempts whose connection broke after the request was sent whole.
     attempt_reset,
-    /// Attempts called off.
+    /// Attempts that were cancelled.
     attempt_cancelled,
-    /// Attempts that were not sent, or came too late to run.
+    /// Attempts that were not sent, or arrived too late to run.
     attempt_moot,
-    /// Of these, those pulled from a queue because they had waited too long or their machine was leaving.
+    /// Attempts withdrawn from a queue because they had waited too long or their machine was leaving.
     attempt_pulled,
-    /// Answers nobody waited for any more.
+    /// Answers to attempts that had ended already.
     answers_late,
-    /// Answers under an id that is not open there.
+    /// Answers with an id that is not open on their connection.
     answers_unknown,
     /// Probes sent.
     probes,
-    /// Changes of the list of machines.
+    /// Changes to the list of machines.
     lists,
     /// Purges.
     purges,
-    /// Configs read anew.
+    /// Configuration reloads.
     reloads,
-    /// Configs that could not be read, so that nothing changed.
+    /// Configurations that could not be read, so that nothing changed.
     reloads_refused,
-    /// Polls of the discovery watch that failed.
+    /// Discovery polls that failed.
     watch_faults,
     /// Client connections closed for a malformed record.
     client_faults,
-    /// Client connections closed since their client was silent, deaf or gone.
+    /// Client connections closed because the client sent or read nothing in time, or was gone.
     clients_stale,
-    /// Idle or silent ones closed early, to make room for others.
+    /// Idle or silent client connections closed early to make room for others.
     clients_shed,
     /// Connections to endpoints closed for an unreadable frame.
     endpoint_faults,
-    /// Connections opened to machines.
+    /// Connection attempts to machines.
     dials,
-    /// Of these, those refused or not up in time.
+    /// Connection attempts that were refused or timed out.
     dials_failed,
-    /// Times that this machine lacked something for a socket: descriptors, memory, buffers.
+    /// Socket operations that failed because this machine lacked descriptors, memory or buffers.
     shortages,
-    /// Panics stopped at a connection or an event.
+    /// Panics caught at a connection or an event.
     panics,
 }
--- a/src/reasons.rs
+++ b/src/reasons.rs
@@ -1,12 +1,14 @@
-//! Why a connection was closed, a request refused or failed, an attempt made or withheld: the enums that log events and
-//! counters share, so that no close, retry or refusal is without a reason.
+//! Reasons for closes, refusals, failures, attempts and withheld attempts. Log events and counters share
+//! these enums, so that every close, retry and refusal has a reason.
 
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// Defines an enum whose variants have a name for counters and log fields, and words for people.
+/// Defines an enum whose variants have a name for counters and log fields, and a description for people.
 macro_rules! reasons {
-    ($(#[$doc:meta])* $name:ident { $($(#[$variant_doc:meta])* $variant:ident: $key:literal, $words:literal;)* }) => {
+    ($(#[$doc:meta])* $name:ident {
+        $($(#[$variant_doc:meta])* $variant:ident: $key:literal, $description:literal;)*
+    }) => {
         $(#[$doc])*
         #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
         pub enum $name {
@@ -24,7 +26,7 @@
 
             fn description(self) -> &'static str {
                 match self {
-                    $(Self::$variant => $words,)*
+                    $(Self::$variant => $description,)*
                 }
             }
         }
@@ -37,74 +39,74 @@
     };
 }
 
-/// What all these enums have in common.
+/// The common interface of all reasons.
 pub trait Reason: Copy + Ord + 'static {
-    /// Every reason of this kind.
+    /// All reasons of this kind.
     const ALL: &'static [Self];
 
-    /// Its name in counters and log fields: lower case, words joined by `_`.
+    /// Returns the name in counters and log fields: lower case, words joined by `_`.
     fn key(self) -> &'static str;
 
-    /// Its name for people.
+    /// Returns the description for people.
     fn description(self) -> &'static str;
 }
 
 reasons! {
-    /// Why a client's connection ends.
+    /// Why a client connection is closed.
     ClientClose {
-        /// The client has closed its side.
+        /// The client closed its side.
         PeerClosed: "peer_closed", "closed by the client";
-        /// The connection broke: a reset, or a path that is gone.
-        PeerReset: "peer_reset", "broken by the client";
-        /// A record on it can't be read.
-        Unreadable: "unreadable", "a record can't be read";
-        /// It held most of the memory that requests still coming in may take.
-        NoMemory: "no_memory", "no memory for what it sends";
-        /// No whole request came in time.
-        RequestTimeout: "silent", "no request in time";
-        /// It rested for longer than clients keep idle connections.
+        /// The connection broke: a reset, or a lost route.
+        PeerReset: "peer_reset", "connection reset by the client";
+        /// A record on the connection can't be read.
+        Unreadable: "unreadable", "unreadable record";
+        /// The connection used most of the memory for requests that are being received.
+        NoMemory: "no_memory", "no memory for its requests";
+        /// No whole request was received in time.
+        RequestTimeout: "silent", "request timeout";
+        /// The connection was idle for longer than clients keep idle connections.
         Idle: "idle", "idle for too long";
-        /// Its client takes nothing of what it is owed.
-        WriteTimeout: "deaf", "its client reads nothing";
-        /// Its descriptor was needed for another client.
-        Shed: "shed", "its descriptor was needed";
-        /// The router is being emptied or ends, and nothing is open on it.
-        Draining: "draining", "at rest while the router drains";
-        /// Its client asked for it to be closed after its last answer (no KEEP_CONN).
-        NoKeepConn: "not_kept", "the client wanted no further request";
-        /// The process ends.
-        ProcessExit: "process_exit", "the process ends";
-        /// A panic while it was served.
+        /// The client reads none of the answers written to it.
+        WriteTimeout: "deaf", "the client reads no answers";
+        /// The connection's descriptor was needed for another client.
+        Shed: "shed", "shed to free a descriptor";
+        /// The router is being emptied or terminates, and no request is open on the connection.
+        Draining: "draining", "idle while the router drains";
+        /// The client asked for the connection to be closed after its last answer (no KEEP_CONN).
+        NoKeepConn: "not_kept", "the client sends no further requests";
+        /// The process exits.
+        ProcessExit: "process_exit", "the process exits";
+        /// A panic occurred while the connection was served.
         Panic: "panic", "panic";
     }
 }
 
 reasons! {
-    /// Why a connection to an endpoint ends, or never came up.
+    /// Why a connection to an endpoint is closed, or was not established.
     EndpointClose {
-        /// The endpoint has closed it.
+        /// The endpoint closed the connection.
         PeerClosed: "peer_closed", "closed";
-        /// The connection broke: a reset, or a path that is gone.
+        /// The connection broke: a reset, or a lost route.
         Broken: "broken", "broken";
-        /// A frame on it can't be read.
+        /// A frame on the connection can't be read.
         Unreadable: "unreadable", "unreadable";
-        /// An answer began and did not go on.
+        /// An answer stopped after it had begun.
         Stalled: "stalled", "an answer stopped short";
-        /// It carried nothing for long enough, or its endpoint is retired.
+        /// The connection carried nothing for long enough, or its endpoint is retired.
         Idle: "idle", "idle";
-        /// It was not up in time.
+        /// The connection was not established in time.
         ConnectTimeout: "not_up", "not up in time";
-        /// This machine had no room for it in time: no descriptor, memory or port.
+        /// This machine had no descriptor, memory or port for the connection in time.
         NoRoom: "no_room", "no room for a connection in time";
         /// The endpoint did not answer the greeting in time.
         NoGreeting: "no_greeting", "no greeting";
-        /// Nobody waits for it any more, and it is not up.
+        /// The connection is not established yet, and nothing waits for it any more.
         NotNeeded: "not_wanted", "not wanted any more";
-        /// Another endpoint than the one that was meant answers there.
+        /// The machine that answers there has another name than the one that was dialled.
         WrongName: "wrong_name", "another machine answers there";
-        /// Its endpoint has started anew since it was dialled.
+        /// The endpoint's machine has restarted since it was dialled.
         Restarted: "restarted", "its machine has started anew";
-        /// A panic while it was served.
+        /// A panic occurred while the connection was served.
         Panic: "panic", "panic";
     }
 }
@@ -112,85 +114,87 @@
 reasons! {
     /// Why a request is refused: a retry does no harm.
     Refusal {
-        /// It was read after the router stopped taking requests.
-        ShuttingDown: "shutting_down", "the router ends";
-        /// It was read on a connection that an evacuated router is about to close, or was open there as it did.
-        Draining: "draining", "the router is being emptied";
-        /// As many requests are open as may be.
+        /// The request was read after the router stopped accepting requests.
+        ShuttingDown: "shutting_down", "the router is shutting down";
+        /// The request was read, or was open, on a connection that an evacuated router closes.
+        Draining: "draining", "the router is draining";
+        /// The largest number of open requests is reached.
         TooManyOpen: "too_many_open", "too many requests are open";
-        /// The bodies of open requests fill the memory that they may take.
-        BodyMemoryFull: "bodies_full", "no memory for its body";
-        /// Its client gives up before anything could be done.
-        DeadlineExpired: "no_time_left", "no time is left";
-        /// It was served, and the answer had to be dropped to stay within the memory limit.
-        AnswerDropped: "answer_dropped", "no memory for its answer";
-        /// No endpoint can take it.
-        NoEndpoint: "no_endpoint", "no endpoint can take it";
-        /// As many attempts were made as may be.
-        AttemptsExhausted: "tries_used", "its attempts are used up";
-        /// What is left of its time is less than sending it takes.
-        DeadlineUnreachable: "too_late", "it can't be answered in time";
-        /// No endpoint could send it within its aim: they hold too much.
-        Overload: "overload", "its endpoint is overloaded";
-        /// Nobody holds it, and it may not be filled now.
-        NotCached: "not_held", "nobody holds it, and fills are held back";
-        /// It may have run, and its class or window allows no repeat now.
-        RetryNotAllowed: "no_repeat", "it may not be sent again";
-        /// Endpoints call it an error one after the other, and nobody has served it before.
-        UnknownObject: "unknown", "endpoints do not know it";
-        /// A plug-in has it refused.
-        RefusedByPlugin: "advised", "a plug-in has it refused";
+        /// The bodies of open requests use all memory reserved for them.
+        BodyMemoryFull: "bodies_full", "no memory for the request body";
+        /// The answer deadline has passed already.
+        DeadlineExpired: "no_time_left", "deadline expired";
+        /// The request was served, but its answer was dropped to stay within the memory limit.
+        AnswerDropped: "answer_dropped", "no memory for the answer";
+        /// No endpoint can take the request.
+        NoEndpoint: "no_endpoint", "no endpoint available";
+        /// The largest number of attempts was made.
+        AttemptsExhausted: "tries_used", "attempts exhausted";
+        /// The time left is less than the transfer takes.
+        DeadlineUnreachable: "too_late", "deadline can't be met";
+        /// All endpoints are too loaded to serve the request within its aim.
+        Overload: "overload", "endpoint overloaded";
+        /// No machine holds the object, and it may not be filled now.
+        NotCached: "not_held", "not cached, and fills are held back";
+        /// The request may have run, and its class or deduplication window allows no repeat now.
+        RetryNotAllowed: "no_repeat", "retry not allowed";
+        /// Several endpoints in turn answered with an error, and none has served the object before.
+        UnknownObject: "unknown", "object unknown to the endpoints";
+        /// A plug-in advised to refuse the request.
+        RefusedByPlugin: "advised", "refused by a plug-in";
     }
 }
 
 reasons! {
     /// Why an attempt is made.
     AttemptCause {
-        /// It is the request's first.
+        /// The first attempt of the request.
         First: "first", "first";
-        /// The one before ended without an answer in time.
+        /// The previous attempt ended without an answer in time.
         AfterTimeout: "after_timeout", "after a time-out";
-        /// The one before was answered with an error.
+        /// The previous attempt was answered with an error.
         AfterError: "after_error", "after an error";
-        /// The one before was turned away.
-        AfterFull: "after_full", "after one that was turned away";
-        /// The one before found nothing suitable.
+        /// The previous attempt was turned away.
+        AfterFull: "after_full", "after a rejected attempt";
+        /// The previous attempt was a miss.
         AfterMiss: "after_miss", "after a miss";
-        /// The one before found no connection.
+        /// The previous attempt got no connection.
         AfterConnectFailed: "after_connect_failed", "after a failed connection";
-        /// The connection of the one before broke.
+        /// The connection of the previous attempt broke.
         AfterReset: "after_reset", "after a reset";
-        /// The one before was called off.
-        AfterCancelled: "after_cancelled", "after one that was called off";
-        /// The one before was not sent.
-        AfterUnsent: "after_unsent", "after one that was not sent";
-        /// Another one is out, and seems lost.
-        Hedge: "hedge", "beside one that seems lost";
+        /// The previous attempt was cancelled.
+        AfterCancelled: "after_cancelled", "after a cancelled attempt";
+        /// The previous attempt was not sent.
+        AfterUnsent: "after_unsent", "after an unsent attempt";
+        /// Another attempt is in flight and seems lost.
+        Hedge: "hedge", "hedge for an attempt that seems lost";
     }
 }
 
 reasons! {
-    /// Why an attempt that waited is not begun after all, asked as its first byte would leave.
+    /// Why a queued attempt is withheld when its first byte is about to be sent.
     Withheld {
-        /// The reducer has no such attempt: its client has left, or it was given up.
-        UnknownAttempt: "unknown", "it was given up";
-        /// Its endpoint leaves, or has left.
-        EndpointLeaving: "endpoint_leaves", "its endpoint leaves";
-        /// The source of its fill leaves, or has left.
-        SourceLeaving: "source_leaves", "its source leaves";
-        /// The time by which it was to leave is over: a repeat's window, or what a connection may take to come up.
-        SendWindowExpired: "too_late", "its time to leave is over";
-        /// Its client's time is up.
-        ClientDeadlineExpired: "out_of_time", "its client's time is up";
-        /// It must not run twice, and an attempt before it may have run.
-        MayHaveRun: "may_have_run", "it may have run, and must not run twice";
-        /// Another attempt of it is out, and no two may be.
-        ConcurrentAttempt: "two_at_once", "another attempt of it is out";
+        /// The reducer has no such attempt: the client has left, or the attempt was given up.
+        UnknownAttempt: "unknown", "unknown attempt";
+        /// The endpoint is leaving, or has left.
+        EndpointLeaving: "endpoint_leaves", "endpoint leaving";
+        /// The source of the fill is leaving, or has left.
+        SourceLeaving: "source_leaves", "source leaving";
+        /// The latest send time has passed: the window for a repeat, or the time for a connection to be
+        /// established.
+        SendWindowExpired: "too_late", "send window expired";
+        /// The answer deadline has passed.
+        ClientDeadlineExpired: "out_of_time", "client deadline expired";
+        /// The request must not run twice, and an earlier attempt may have run.
+        MayHaveRun: "may_have_run", "may have run and must not run twice";
+        /// Another attempt of the request is in flight, and concurrent attempts are not allowed.
+        ConcurrentAttempt: "two_at_once", "concurrent attempt in flight";
     }
 }
 
 impl Withheld {
-    /// Whether it should have been taken back or never been asked for, so that coming so far is a fault of this process.
+    /// Returns whether the attempt should have been withdrawn, or not requested, before this check. If so,
+    /// reaching the check is a fault of this process.
     pub fn is_violation(self) -> bool {
         match self {
             Self::SendWindowExpired | Self::ClientDeadlineExpired => false,
@@ -204,15 +208,16 @@
 }
 
 reasons! {
-    /// A rule that this process has seen itself break, or prevented at the last point. Each is counted; none should ever be
-    /// seen.
+    /// A broken rule that this process detected, or prevented at the last check. Each is counted, and none
+    /// should ever occur.
     Violation {
-        /// An attempt was about to begin that must not; it was withheld.
-        ForbiddenSend: "begin", "an attempt was about to begin that must not";
-        /// A client's connection was there past the time in which an evacuated router may keep it.
-        ConnectedPastDrain: "held_past_drain", "a client was connected past the time of a drain";
-        /// A client's connection was closed from this side over requests that had come whole on it.
-        ClosedUnanswered: "closed_owing", "a connection was closed over requests that are owed an answer";
+        /// An attempt that must not be sent was about to be sent, and was withheld.
+        ForbiddenSend: "begin", "a forbidden attempt was about to be sent";
+        /// A client was still connected after the time for which an evacuated router may keep it.
+        ConnectedPastDrain: "held_past_drain", "a client is still connected after a drain";
+        /// A client connection was closed from this side although requests received whole on it were
+        /// unanswered.
+        ClosedUnanswered: "closed_owing", "a connection was closed with unanswered requests";
     }
 }
 
@@ -227,22 +232,22 @@
 }
 
 impl<R: Reason> ReasonCounts<R> {
-    /// Counts one more.
+    /// Counts a reason.
     pub fn add(&mut self, reason: R) {
         *self.0.entry(reason).or_default() += 1;
     }
 
-    /// How often this one was given.
+    /// Returns how often a reason was given.
     pub fn get(&self, reason: R) -> u64 {
         self.0.get(&reason).copied().unwrap_or(0)
     }
 
-    /// How often any was given.
+    /// Returns how often any reason was given.
     pub fn total(&self) -> u64 {
         self.0.values().sum()
     }
 
-    /// Writes ` PREFIX_KEY=COUNT` for each that was given.
+    /// Writes ` PREFIX_KEY=COUNT` for each reason that was given.
     pub fn write(&self, f: &mut fmt::Formatter<'_>, prefix: &str) -> fmt::Result {
         self.0.iter().try_for_each(|(reason, count)| write!(f, " {prefix}_{}={count}", reason.key()))
     }
--- a/src/reasons/tests.rs
+++ b/src/reasons/tests.rs
@@ -1,24 +1,24 @@
 use super::*;
 use std::collections::BTreeSet;
 
-fn keys_are_names_and_differ<R: Reason>() {
+fn check_keys_are_unique_names<R: Reason>() {
     let keys: BTreeSet<&str> = R::ALL.iter().map(|reason| reason.key()).collect();
-    assert_eq!(keys.len(), R::ALL.len(), "two reasons share a name");
+    assert_eq!(keys.len(), R::ALL.len(), "two reasons share a key");
     assert!(keys.iter().all(|key| key.bytes().all(|byte| byte.is_ascii_lowercase() || byte == b'_')));
 }
 
 #[test]
-fn every_reason_has_a_counter_name_of_its_own() {
-    keys_are_names_and_differ::<ClientClose>();
-    keys_are_names_and_differ::<EndpointClose>();
-    keys_are_names_and_differ::<Refusal>();
-    keys_are_names_and_differ::<AttemptCause>();
-    keys_are_names_and_differ::<Withheld>();
-    keys_are_names_and_differ::<Violation>();
+fn every_reason_has_a_unique_counter_name() {
+    check_keys_are_unique_names::<ClientClose>();
+    check_keys_are_unique_names::<EndpointClose>();
+    check_keys_are_unique_names::<Refusal>();
+    check_keys_are_unique_names::<AttemptCause>();
+    check_keys_are_unique_names::<Withheld>();
+    check_keys_are_unique_names::<Violation>();
 }
 
 #[test]
-fn counts_are_written_by_reason_and_only_those_that_were_given() {
+fn counts_are_written_by_reason_for_reasons_that_occurred() {
     struct Shown(ReasonCounts<Refusal>);
     impl fmt::Display for Shown {
         fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
