--- a/src/errno.rs
+++ b/src/errno.rs
@@ -1,30 +1,31 @@
-//! What an error of a system call says, and of whom (Linux man pages, section 2, and socket(7), tcp(7)).
+//! Classes of system call errors (Linux man pages, section 2, and socket(7), tcp(7)).
 
 use rustix::io::Errno;
 use std::io;
 
-/// What is to be concluded from an error.
+/// What an error means for the caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ErrorClass {
-    /// A signal came in between: the call is made again at once, or goes on by itself.
+    /// A signal interrupted the call: it is repeated at once, or continues by itself.
     Interrupted,
-    /// Nothing can be done before the next readiness.
+    /// The call can't proceed before the next readiness event.
     WouldBlock,
-    /// This machine lacks something for a moment: descriptors, memory, ports, buffers. The call is made again shortly, and
-    /// nothing is said of a peer.
+    /// This machine lacks descriptors, memory, ports or buffers for a moment. The call is repeated shortly,
+    /// and nothing is concluded about the peer.
     Shortage,
-    /// No way leads there just now.
+    /// No route leads to the peer now.
     Unreachable,
     /// The peer, or the connection to it, is at fault.
     Peer,
 }
 
-/// Reads an error.
+/// Classifies an error.
 pub(crate) fn classify(error: &io::Error) -> ErrorClass {
     match Errno::from_io_error(error) {
         Some(Errno::INTR) => ErrorClass::Interrupted,
         Some(Errno::AGAIN) => ErrorClass::WouldBlock,
-        // EADDRNOTAVAIL and EADDRINUSE are connect's for want of a local port; ENOSPC epoll_ctl's for too many watches.
+        // EADDRNOTAVAIL and EADDRINUSE: connect found no local port. ENOSPC: epoll_ctl reached the limit of
+        // watches.
         Some(
             Errno::MFILE
             | Errno::NFILE
@@ -41,10 +42,11 @@
     }
 }
 
-/// Whether a file's call failed in a way that may pass: the disk is full or in trouble, or this machine lacks something.
+/// Returns whether a failed file operation may succeed later: the disk is full or faulty, or this machine
+/// lacks a resource.
 pub(crate) fn is_transient(error: &io::Error) -> bool {
-    let of_the_disk = matches!(Errno::from_io_error(error), Some(Errno::IO | Errno::DQUOT));
-    of_the_disk
+    let disk_fault = matches!(Errno::from_io_error(error), Some(Errno::IO | Errno::DQUOT));
+    disk_fault
         || matches!(classify(error), ErrorClass::Interrupted | ErrorClass::WouldBlock | ErrorClass::Shortage)
 }
 
--- a/src/errno/tests.rs
+++ b/src/errno/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn each_error_is_laid_at_the_door_of_whom_it_speaks_of() {
+fn each_error_is_classified_by_its_cause() {
     let of = |errno: Errno| classify(&io::Error::from(errno));
     for errno in [Errno::MFILE, Errno::NFILE, Errno::NOMEM, Errno::NOBUFS, Errno::ADDRNOTAVAIL, Errno::NOSPC]
     {
