--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,8 +1,10 @@
-//! A request router: where objects are served, kept and filled from, and the network around these decisions.
+//! A request router: decides where objects are served, cached and filled from, and handles the network around
+//! these decisions.
 //!
-//! [`runtime`] serves on sockets; `docs/architecture.md` says how the parts fit. The decisions stand alone: a
-//! [`Router`] is a deterministic state machine without I/O: make one from [`Settings`](api::Settings),
-//! feed it [`Event`](api::Event)s with the time, and carry out the [`Action`](api::Action)s it returns.
+//! [`runtime`] serves on sockets; `docs/architecture.md` describes how the modules fit together. The
+//! decisions are independent of it: a [`Router`] is a deterministic state machine without I/O. Create one
+//! from [`Settings`](api::Settings), feed it [`Event`](api::Event)s with the time, and carry out the
+//! [`Action`](api::Action)s that it returns.
 //!
 //! ```
 //! use frostturn::api::*;
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,5 @@
-//! One request router: does what its command line says; with none, it serves until it is told to end.
+//! The daemon's executable: runs the command given on the command line; without one, serves until it is
+//! terminated.
 
 #![forbid(unsafe_code)]
 
--- a/tests/deadlines.rs
+++ b/tests/deadlines.rs
@@ -1,37 +1,43 @@
-//! The deadline that is passed on to an endpoint: what the client has left as the request leaves, whatever it waited for.
+//! The deadline that is passed on to an endpoint: the time that the client has left when the request is sent.
 
 mod rig;
 
 use rig::{pass, until, Client, Endpoint, Router, Site};
 
-/// What the operators grant beyond what the client has left.
-const SLACK_MS: u64 = 150;
-/// How long a connection takes to come up.
-const DIAL_MS: u64 = 900;
-/// What the rig's clients say of their patience.
-const PATIENCE_MS: u64 = 2900;
+/// Tolerance that the operators grant beyond the time that the client has left.
+const TOLERANCE_MS: u64 = 150;
+/// Time until the connection is established.
+const CONNECT_MS: u64 = 900;
+/// The time-out that the rig's clients send.
+const CLIENT_TIMEOUT_MS: u64 = 2900;
 
-/// The `limit` of a request as it came to an endpoint.
+/// Returns the `limit` field of a request as the endpoint received it.
 fn limit(fields: &str) -> u64 {
     let limit = fields.split(',').find_map(|field| field.strip_prefix("limit="));
     limit.and_then(|limit| limit.parse().ok()).unwrap_or_else(|| panic!("no limit: {fields}"))
 }
 
 #[test]
-fn a_request_that_waited_for_its_connection_passes_on_what_its_client_has_left() {
+fn a_request_that_waited_for_its_connection_passes_on_the_time_its_client_has_left() {
     let mut late = Endpoint::late();
     let mut site = Site::new(&[("e-1", &late)]);
     site.limits = r#""MostTries":1,"Cancelling":true,"DialTimeoutMs":5000.0"#;
     let router = Router::start("limit", &site);
     let mut client = Client::connect(&router);
     client.ask(1, "page", 1);
-    until("it dials", || router.count("dials") > 0);
-    pass(DIAL_MS);
+    until("the router connects", || router.count("dials") > 0);
+    pass(CONNECT_MS);
     late.open();
     let asked = late.asked();
     let passed_on = limit(&asked.fields);
-    assert!(passed_on <= PATIENCE_MS - DIAL_MS + SLACK_MS, "{passed_on} ms of {PATIENCE_MS} after {DIAL_MS}");
-    assert!(passed_on + 500 >= PATIENCE_MS - DIAL_MS, "{passed_on} ms are less than it has left");
+    assert!(
+        passed_on <= CLIENT_TIMEOUT_MS - CONNECT_MS + TOLERANCE_MS,
+        "{passed_on} ms of {CLIENT_TIMEOUT_MS} after {CONNECT_MS}"
+    );
+    assert!(
+        passed_on + 500 >= CLIENT_TIMEOUT_MS - CONNECT_MS,
+        "{passed_on} ms are less than the client has left"
+    );
     late.serve(&asked);
     assert_eq!(client.status(1), 200);
     router.end();
--- a/tests/retries.rs
+++ b/tests/retries.rs
@@ -1,13 +1,14 @@
-//! Attempts that are repeated: how often, within which window, beside what is still out, and what counts as an answer.
+//! Repeated attempts: how many, within which window, beside which other attempts, and what counts as an
+//! answer.
 
 mod rig;
 
 use frostturn::resp;
 use rig::{pass, take, until, Client, Endpoint, Event, Router, Site};
 
-/// An operator's file that has each endpoint greeted: nothing leaves before the greeting is answered, so that a test
-/// decides when that is.
-fn greeted(endpoints: &[(&'static str, &Endpoint)]) -> Site {
+/// Returns a site whose operator's file requires a greeting on each connection. Nothing is sent before the
+/// greeting is answered, so that a test decides when requests are sent.
+fn site_with_greetings(endpoints: &[(&'static str, &Endpoint)]) -> Site {
     let path = std::path::Path::new(env!("CARGO_TARGET_TMPDIR")).join("greeted.scm");
     std::fs::write(&path, "(frostturn (addresses (names checked)))").expect("written");
     let mut site = Site::new(endpoints);
@@ -15,89 +16,97 @@
     site
 }
 
-/// Waits for a greeting at any of these: whose, its connection and tag.
-fn greeting(ends: &[(&'static str, Endpoint)]) -> (usize, usize, String) {
+/// Waits for a greeting at any of the endpoints. Returns the endpoint's index, the connection and the tag.
+fn next_greeting(endpoints: &[(&'static str, Endpoint)]) -> (usize, usize, String) {
     let mut came = None;
     until("a greeting", || {
-        for (at, (_, end)) in ends.iter().enumerate() {
-            for event in end.so_far() {
+        for (at, (_, endpoint)) in endpoints.iter().enumerate() {
+            for event in endpoint.so_far() {
                 if let Event::Frame(conn, parts) = event {
-                    assert_eq!(parts[0], "HELO", "nothing goes before it");
+                    assert_eq!(parts[0], "HELO", "nothing is sent before the greeting");
                     came = Some((at, conn, parts[1].clone()));
                 }
             }
         }
         came.is_some()
     });
-    came.expect("one came")
+    came.expect("a greeting came")
 }
 
-fn greet(ends: &[(&'static str, Endpoint)], (at, conn, tag): &(usize, usize, String)) {
-    let (name, end) = &ends[*at];
+fn answer_greeting(endpoints: &[(&'static str, Endpoint)], (at, conn, tag): &(usize, usize, String)) {
+    let (name, endpoint) = &endpoints[*at];
     let frame = resp::frame(&[tag.as_bytes(), b"FIT", format!("name={name}").as_bytes(), b""]);
-    end.write(*conn, &frame).expect("written");
+    endpoint.write(*conn, &frame).expect("written");
 }
 
-fn two() -> [(&'static str, Endpoint); 2] {
+fn two_endpoints() -> [(&'static str, Endpoint); 2] {
     [("e-1", Endpoint::new()), ("e-2", Endpoint::new())]
 }
 
-fn site(ends: &[(&'static str, Endpoint); 2]) -> Site {
-    Site::new(&[(ends[0].0, &ends[0].1), (ends[1].0, &ends[1].1)])
+fn site(endpoints: &[(&'static str, Endpoint); 2]) -> Site {
+    Site::new(&[(endpoints[0].0, &endpoints[0].1), (endpoints[1].0, &endpoints[1].1)])
 }
 
 #[test]
-fn a_repeat_that_was_decided_in_its_window_does_not_leave_after_it() {
-    let ends = two();
-    let router = Router::start("window", &greeted(&[(ends[0].0, &ends[0].1), (ends[1].0, &ends[1].1)]));
+fn a_repeat_decided_within_its_window_is_not_sent_after_it() {
+    let endpoints = two_endpoints();
+    let router = Router::start(
+        "window",
+        &site_with_greetings(&[(endpoints[0].0, &endpoints[0].1), (endpoints[1].0, &endpoints[1].1)]),
+    );
     let mut client = Client::connect(&router);
     client.ask(1, "keyed", 1);
-    let home = greeting(&ends);
-    greet(&ends, &home);
-    let asked = ends[home.0].1.asked();
-    // It may have run; the window is 150 ms from its send.
-    ends[home.0].1.reset(asked.conn);
-    let other = greeting(&ends);
-    assert_eq!(other.0, 1 - home.0, "the repeat is decided");
+    let home = next_greeting(&endpoints);
+    answer_greeting(&endpoints, &home);
+    let asked = endpoints[home.0].1.asked();
+    // The request may have run; its window is 150 ms from the first send.
+    endpoints[home.0].1.reset(asked.conn);
+    let other = next_greeting(&endpoints);
+    assert_eq!(other.0, 1 - home.0, "the repeat goes to the other endpoint");
     pass(200);
-    greet(&ends, &other);
+    answer_greeting(&endpoints, &other);
     let status = client.status(1);
-    assert!(status == 503 || status == 502, "given up: {status}");
+    assert!(status == 503 || status == 502, "the request is given up: {status}");
     router.end();
-    assert_eq!(ends[other.0].1.ids(), [""; 0], "its window was over when its bytes could leave");
+    assert_eq!(endpoints[other.0].1.ids(), [""; 0], "its window had passed when it could be sent");
 }
 
 #[test]
 fn a_keyed_request_is_repeated_within_its_window_and_a_fragile_one_never() {
-    for (class, again) in [("keyed", true), ("swap", false), ("page", true)] {
-        let ends = two();
-        let router = Router::start(&format!("again-{class}"), &site(&ends));
+    for (class, repeated) in [("keyed", true), ("swap", false), ("page", true)] {
+        let endpoints = two_endpoints();
+        let router = Router::start(&format!("again-{class}"), &site(&endpoints));
         let mut client = Client::connect(&router);
         client.ask(1, class, 1);
-        let (at, asked) = take(&ends);
-        // The reset and nothing else is there when it looks: the window of 150 ms counts while it is held, too.
-        ends[at].1.reset(asked.conn);
-        if again && class == "page" {
-            let (other, second) = take(&ends);
+        let (at, asked) = take(&endpoints);
+        // The reset is the only event at the router. The window of 150 ms also runs while the endpoint holds
+        // the request.
+        endpoints[at].1.reset(asked.conn);
+        if repeated && class == "page" {
+            let (other, second) = take(&endpoints);
             assert_eq!((other, &second.id), (1 - at, &asked.id));
-            ends[other].1.serve(&second);
+            endpoints[other].1.serve(&second);
             assert_eq!(client.status(1), 200);
         }
-        if !again {
-            assert_eq!(client.status(1), 502, "failed: it may have run");
+        if !repeated {
+            assert_eq!(client.status(1), 502, "it may have run, so it fails");
         }
         router.end();
         if class == "swap" {
-            assert_eq!((ends[0].1.ids(), ends[1].1.ids()), (vec![], vec![]), "never twice");
+            assert_eq!(
+                (endpoints[0].1.ids(), endpoints[1].1.ids()),
+                (vec![], vec![]),
+                "it is never sent twice"
+            );
         }
     }
 }
 
 #[test]
-fn a_request_is_tried_as_often_as_the_settings_say_and_no_more() {
+fn a_request_gets_as_many_attempts_as_the_settings_allow_and_no_more() {
     for most in [1, 2, 4] {
-        let ends = two();
-        let mut site = site(&ends);
+        let endpoints = two_endpoints();
+        let mut site = site(&endpoints);
         site.limits = match most {
             1 => r#""MostTries":1,"Cancelling":true"#,
             2 => r#""MostTries":2,"Cancelling":true"#,
@@ -107,18 +116,18 @@
         let mut client = Client::connect(&router);
         client.ask(1, "page", 1);
         for _ in 0..most {
-            let (at, asked) = take(&ends);
-            ends[at].1.reset(asked.conn);
+            let (at, asked) = take(&endpoints);
+            endpoints[at].1.reset(asked.conn);
         }
         assert_ne!(client.status(1), 200);
         let log = router.end();
         assert!(log.contains(&format!(" attempts={most} ")), "{log}");
-        assert_eq!(ends[0].1.ids().len() + ends[1].1.ids().len(), 0, "{most}");
+        assert_eq!(endpoints[0].1.ids().len() + endpoints[1].1.ids().len(), 0, "{most}");
     }
 }
 
 #[test]
-fn two_answers_in_one_wake_are_one_answer_and_a_clients_own_repeat_has_its_own() {
+fn duplicate_answers_count_once_and_a_clients_own_repeat_gets_its_own_answer() {
     let endpoint = Endpoint::new();
     let mut site = Site::new(&[("e-1", &endpoint)]);
     site.limits = r#""MostTries":1,"Cancelling":true"#;
@@ -126,7 +135,7 @@
     let mut client = Client::connect(&router);
     client.ask(1, "swap", 1);
     let one = endpoint.asked();
-    // The client asks for the same under a new id while the first is still out.
+    // The client sends the same request under a new id while the first one is in flight.
     client.ask(2, "swap", 2);
     let two = endpoint.asked();
     router.hold();
