--- a/src/runtime/drains.rs
+++ b/src/runtime/drains.rs
@@ -1,5 +1,5 @@
 //! Clients' connections while the router is emptied or ends: closed at rest, or, where they never come to rest, answered and
-//! closed in time. What is done when is [`Service::intake`]'s to say; this is the one place that carries it out.
+//! closed in time. What is done when is [`Service::admission`]'s to say; this is the one place that carries it out.
 //!
 //! Beside it, what the log says of the service's states and of rules that were broken.
 
