--- a/src/counters.rs
+++ b/src/counters.rs
@@ -55,9 +55,9 @@
 }
 
 counters! {
-    /// Requests accepted from clients.
+    /// Requests received from clients, refused ones included, malformed ones excluded.
     taken,
-    /// Accepted requests that their client marked as a retry.
+    /// Of the received requests, those that their client marked as a retry.
     repeats,
     /// Requests served with a body.
     served,
@@ -95,7 +95,8 @@
     attempt_cancelled,
     /// Attempts that were not sent, or arrived too late to run.
     attempt_moot,
-    /// Attempts withdrawn from a queue because they had waited too long or their machine was leaving.
+    /// Of the attempts that were not sent, those withdrawn from a queue because they had waited too long or their
+    /// machine was leaving.
     attempt_pulled,
     /// Answers to attempts that had ended already.
     answers_late,
@@ -123,7 +124,7 @@
     endpoint_faults,
     /// Connection attempts to machines.
     dials,
-    /// Connection attempts that were refused or timed out.
+    /// Of the connection attempts, those that were refused or timed out.
     dials_failed,
     /// Socket operations that failed because this machine lacked descriptors, memory or buffers.
     shortages,
--- a/tests/reducer.rs
+++ b/tests/reducer.rs
@@ -336,7 +336,7 @@
 
 #[test]
 fn deleted_machines_are_eventually_forgotten() {
-    // In production, restarted machines come back under new names, day after day.
+    // In production, machines are replaced under new names, day after day.
     let mut rig = Rig::new();
     for at in 0..300 {
         for phase in [Phase::Serving, Phase::Deleted] {
