--- a/src/bytes.rs
+++ b/src/bytes.rs
@@ -1,34 +1,35 @@
-//! Bytes that have come and are not yet read: the part that the codecs share.
+//! The receive buffer shared by the FastCGI and RESP decoders.
 
-/// Room that is kept where nothing is left unread.
-const KEPT: usize = 16 * 1024;
+/// Capacity that an empty buffer may keep, in bytes.
+const MAX_IDLE_CAPACITY_BYTES: usize = 16 * 1024;
 
-/// Bytes in the order in which they came.
+/// Received bytes in order of arrival, with the position up to which they are decoded.
 #[derive(Debug, Default)]
 pub struct ReadBuffer {
     bytes: Vec<u8>,
-    at: usize,
+    position: usize,
 }
 
 impl ReadBuffer {
-    /// Takes bytes in, and lets go of those that were read.
+    /// Appends received bytes and discards those already decoded.
     pub fn feed(&mut self, bytes: &[u8]) {
-        self.bytes.drain(..std::mem::take(&mut self.at));
+        self.bytes.drain(..std::mem::take(&mut self.position));
         self.bytes.extend_from_slice(bytes);
     }
 
-    /// What is not yet read.
+    /// Returns the bytes that are not decoded yet.
     pub fn unread(&self) -> &[u8] {
-        &self.bytes[self.at..]
+        &self.bytes[self.position..]
     }
 
-    /// So much of it has been read. Room that one burst took isn't kept: there are hundreds of these.
+    /// Marks `bytes` bytes as decoded. Releases the memory of a burst once the buffer is empty, as there are
+    /// hundreds of connections with a buffer each.
     pub fn advance(&mut self, bytes: usize) {
-        self.at = (self.at + bytes).min(self.bytes.len());
-        if self.at == self.bytes.len() {
-            self.at = 0;
+        self.position = (self.position + bytes).min(self.bytes.len());
+        if self.position == self.bytes.len() {
+            self.position = 0;
             self.bytes.clear();
-            if self.bytes.capacity() > KEPT {
+            if self.bytes.capacity() > MAX_IDLE_CAPACITY_BYTES {
                 self.bytes = Vec::new();
             }
         }
--- a/src/log.rs
+++ b/src/log.rs
@@ -1,8 +1,7 @@
-//! Lines for the operators: `tracing` behind one macro that is limited in rate, for each kind of line by itself.
+//! Log output: `tracing` behind a macro that limits the rate of each call site separately.
 //!
-//! A kind of line is one place in the source that writes it. As text a line reads `frostturn: ` and its words;
-//! as JSON it is one object with the words under `message` and what it speaks of (machine, address, attempt,
-//! outcome) under names of their own.
+//! In text form a line is `frostturn: ` followed by the message. In JSON form it is one object with the text
+//! under `message` and the subjects of the line (machine, address, attempt, outcome) as separate fields.
 
 use std::fmt;
 use std::sync::{Mutex, OnceLock};
@@ -15,55 +14,57 @@
 
 pub use tracing;
 
-/// Lines a second of one kind that may be written for long.
+/// Sustained rate of lines per second from one call site.
 const LINES_PER_S: f64 = 10.0;
-/// Lines of one kind that may come together.
-const BURST: f64 = 40.0;
+/// Lines that one call site may write in a burst.
+const BURST_LINES: f64 = 40.0;
 
-/// A bucket of lines that may still be written, and how many were held back since the last one.
+/// A token bucket for log lines that counts the lines suppressed since the last permitted one.
 #[derive(Debug)]
-pub struct Limiter {
-    left: f64,
-    at_s: f64,
-    held_back: u64,
+pub struct RateLimiter {
+    tokens: f64,
+    refilled_at_s: f64,
+    suppressed: u64,
 }
 
-impl Limiter {
-    /// A full bucket.
+impl RateLimiter {
+    /// Creates a full bucket.
     pub const fn new() -> Self {
-        Self { left: BURST, at_s: 0.0, held_back: 0 }
+        Self { tokens: BURST_LINES, refilled_at_s: 0.0, suppressed: 0 }
     }
 
-    /// Whether a line may be written at `now_s`; if so, how many were held back before it.
+    /// Returns the number of lines suppressed since the last permitted one if a line may be written at
+    /// `now_s` (seconds), and `None` if this line is suppressed too.
     pub fn permit(&mut self, now_s: f64) -> Option<u64> {
-        self.left = (self.left + LINES_PER_S * (now_s - self.at_s).max(0.0)).min(BURST);
-        self.at_s = self.at_s.max(now_s);
-        if self.left < 1.0 {
-            self.held_back += 1;
+        self.tokens = (self.tokens + LINES_PER_S * (now_s - self.refilled_at_s).max(0.0)).min(BURST_LINES);
+        self.refilled_at_s = self.refilled_at_s.max(now_s);
+        if self.tokens < 1.0 {
+            self.suppressed += 1;
             return None;
         }
-        self.left -= 1.0;
-        Some(std::mem::take(&mut self.held_back))
+        self.tokens -= 1.0;
+        Some(std::mem::take(&mut self.suppressed))
     }
 }
 
-impl Default for Limiter {
+impl Default for RateLimiter {
     fn default() -> Self {
         Self::new()
     }
 }
 
-/// A kind of line: its limiter on the process's clock; used by [`log_line!`](crate::log_line).
+/// The rate limiter of one call site, on the process's monotonic clock; used by
+/// [`log_line!`](crate::log_line).
 #[derive(Debug, Default)]
-pub struct Kind(Mutex<Limiter>);
+pub struct CallSiteLimiter(Mutex<RateLimiter>);
 
-impl Kind {
-    /// One that has written nothing yet.
+impl CallSiteLimiter {
+    /// Creates a limiter with a full bucket.
     pub const fn new() -> Self {
-        Self(Mutex::new(Limiter::new()))
+        Self(Mutex::new(RateLimiter::new()))
     }
 
-    /// As [`Limiter::permit`], now.
+    /// Calls [`RateLimiter::permit`] with the current time.
     pub fn permit(&self) -> Option<u64> {
         static START: OnceLock<Instant> = OnceLock::new();
         let now_s = START.get_or_init(Instant::now).elapsed().as_secs_f64();
@@ -71,33 +72,34 @@
     }
 }
 
-/// Writes one line, if the rate of its kind allows it; `always;` first writes it in any case, for lines that
-/// come once or were asked for. Fields go before the words: `log_line!({ machine = %name } "{name} is back")`.
+/// Writes one line at info level, subject to the rate limit of the call site. A leading `always;` exempts the
+/// line from the limit, for lines that occur once or were requested by an operator. Structured fields precede
+/// the message: `log_line!({ machine = %name } "{name} is back")`.
 #[macro_export]
 macro_rules! log_line {
-    (always; { $($field:tt)* } $($part:tt)*) => {
-        $crate::log::tracing::info!($($field)*, $($part)*)
+    (always; { $($field:tt)* } $($message:tt)*) => {
+        $crate::log::tracing::info!($($field)*, $($message)*)
     };
-    (always; $($part:tt)*) => { $crate::log::tracing::info!($($part)*) };
-    ({ $($field:tt)* } $($part:tt)*) => {{
-        static KIND: $crate::log::Kind = $crate::log::Kind::new();
-        if let Some(held) = KIND.permit() {
-            let held_back = (held > 0).then_some(held);
-            $crate::log::tracing::info!(held_back, $($field)*, $($part)*);
+    (always; $($message:tt)*) => { $crate::log::tracing::info!($($message)*) };
+    ({ $($field:tt)* } $($message:tt)*) => {{
+        static LIMITER: $crate::log::CallSiteLimiter = $crate::log::CallSiteLimiter::new();
+        if let Some(suppressed) = LIMITER.permit() {
+            let held_back = (suppressed > 0).then_some(suppressed);
+            $crate::log::tracing::info!(held_back, $($field)*, $($message)*);
         }
     }};
-    ($($part:tt)*) => {{
-        static KIND: $crate::log::Kind = $crate::log::Kind::new();
-        if let Some(held) = KIND.permit() {
-            let held_back = (held > 0).then_some(held);
-            $crate::log::tracing::info!(held_back, $($part)*);
+    ($($message:tt)*) => {{
+        static LIMITER: $crate::log::CallSiteLimiter = $crate::log::CallSiteLimiter::new();
+        if let Some(suppressed) = LIMITER.permit() {
+            let held_back = (suppressed > 0).then_some(suppressed);
+            $crate::log::tracing::info!(held_back, $($message)*);
         }
     }};
 }
 
-/// Writes one event in the life of a request, an attempt or a connection, at debug level: its name, the time on the
-/// process's monotonic clock in milliseconds, and typed fields. Off unless the log level is `debug`; then nothing is
-/// held back, so that one id can be followed through every process that touched it.
+/// Writes one event of a request, an attempt or a connection at debug level: its name, the time on the
+/// process's monotonic clock in milliseconds, and typed fields. Events are not rate limited, so that with the
+/// log level `debug` one id can be followed through every process that handled it.
 #[macro_export]
 macro_rules! trace_event {
     ($now:expr, $event:literal, $($field:tt)*) => {
@@ -105,56 +107,57 @@
     };
 }
 
-/// How much is written.
+/// The log level.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Level {
-    /// What operators need: few lines, limited in rate.
+    /// Rate-limited lines for operators.
     #[default]
     Info,
-    /// Each event of each request and connection as well, with its reason.
+    /// Additionally every event of every request and connection, with its reason.
     Debug,
 }
 
-/// How lines are written.
+/// The output format.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Format {
-    /// `frostturn: ` and the words.
+    /// `frostturn: ` followed by the message.
     #[default]
     Text,
-    /// One JSON object a line.
+    /// One JSON object per line.
     Json,
 }
 
-/// Has this process's lines written to standard error. A second call changes nothing.
+/// Starts writing the log of this process to standard error. A second call has no effect.
 pub fn start(format: Format, level: Level) {
-    let most = match level {
+    let max_level = match level {
         Level::Info => tracing::Level::INFO,
         Level::Debug => tracing::Level::DEBUG,
     };
-    let lines = tracing_subscriber::fmt().with_writer(std::io::stderr).with_max_level(most);
-    // The one error is that lines are written already.
+    let builder = tracing_subscriber::fmt().with_writer(std::io::stderr).with_max_level(max_level);
+    // The only possible error is that a subscriber is set already.
     let _ = match format {
-        Format::Text => lines.event_format(Words).try_init(),
-        Format::Json => lines.json().flatten_event(true).with_current_span(false).try_init(),
+        Format::Text => builder.event_format(TextFormat).try_init(),
+        Format::Json => builder.json().flatten_event(true).with_current_span(false).try_init(),
     };
 }
 
-/// The text form: the words alone, and how many lines were held back before them; an event without words is written as
-/// its fields.
+/// The text format: the message and the number of lines suppressed before it. An event without a message is
+/// written as its fields.
 #[derive(Debug)]
-struct Words;
+struct TextFormat;
 
+/// Collects the fields of one event.
 #[derive(Default)]
-struct Said {
-    words: String,
+struct EventFields {
+    message: String,
     fields: String,
-    held_back: u64,
+    suppressed: u64,
 }
 
-impl Visit for Said {
+impl Visit for EventFields {
     fn record_u64(&mut self, field: &Field, value: u64) {
         if field.name() == "held_back" {
-            self.held_back = value;
+            self.suppressed = value;
         } else {
             self.record_debug(field, &value);
         }
@@ -163,14 +166,14 @@
     fn record_debug(&mut self, field: &Field, value: &dyn fmt::Debug) {
         use fmt::Write as _;
         if field.name() == "message" {
-            self.words = format!("{value:?}");
+            self.message = format!("{value:?}");
         } else {
-            let _ = write!(self.fields, " {}={value:?}", field.name()); // Writing to a string doesn't fail.
+            let _ = write!(self.fields, " {}={value:?}", field.name()); // Writing to a string can't fail.
         }
     }
 }
 
-impl<S, N> FormatEvent<S, N> for Words
+impl<S, N> FormatEvent<S, N> for TextFormat
 where
     S: Subscriber + for<'a> LookupSpan<'a>,
     N: for<'a> FormatFields<'a> + 'static,
@@ -181,14 +184,14 @@
         mut writer: Writer<'_>,
         event: &Event<'_>,
     ) -> fmt::Result {
-        let mut said = Said::default();
-        event.record(&mut said);
-        if said.words.is_empty() {
-            return writeln!(writer, "frostturn:{}", said.fields);
+        let mut collected = EventFields::default();
+        event.record(&mut collected);
+        if collected.message.is_empty() {
+            return writeln!(writer, "frostturn:{}", collected.fields);
         }
-        match said.held_back {
-            0 => writeln!(writer, "frostturn: {}", said.words),
-            held => writeln!(writer, "frostturn: {} ({held} lines held back)", said.words),
+        match collected.suppressed {
+            0 => writeln!(writer, "frostturn: {}", collected.message),
+            suppressed => writeln!(writer, "frostturn: {} ({suppressed} lines held back)", collected.message),
         }
     }
 }
