--- a/src/runtime/board.rs
+++ b/src/runtime/board.rs
@@ -1,6 +1,7 @@
-//! The notice board's socket: one poll after the other. What they bring is [`crate::board`]'s.
+//! The socket to the discovery service, which carries one long poll after the other. [`crate::board`] builds
+//! the polls and parses the responses.
 
-use super::socket::{dial, Io};
+use super::socket::{dial, IoStatus};
 use super::{Runtime, Source};
 use crate::clock::UnixTime;
 use crate::log_line;
@@ -8,97 +9,101 @@
 use std::rc::Rc;
 
 impl Runtime {
-    /// A poll is due, or the one that is out has taken too long.
-    pub(super) fn poll_board(&mut self) {
-        if self.watch.waiting() {
-            self.board_failed("no answer in time");
-            if self.watch.due > self.now() {
+    /// Sends the next poll. Called when it is due, or when the outstanding poll has timed out.
+    pub(super) fn poll_discovery(&mut self) {
+        if self.discovery_watch.waiting() {
+            self.discovery_failed("no answer in time");
+            if self.discovery_watch.due > self.now() {
                 return;
             }
         }
         let now = self.now();
-        let bytes = self.watch.poll(now, self.board_at);
-        if let Some((_, out)) = &mut self.board {
-            *out = bytes;
+        let bytes = self.discovery_watch.poll(now, self.discovery_address);
+        if let Some((_, output)) = &mut self.discovery {
+            *output = bytes;
         } else {
-            match dial(&self.board_at.into()) {
+            match dial(&self.discovery_address.into()) {
                 Ok(stream) => {
-                    let sock = self.watch(Rc::new(stream), Source::Board, false);
-                    self.board = Some((sock, bytes));
+                    let socket = self.register_socket(Rc::new(stream), Source::Board, false);
+                    self.discovery = Some((socket, bytes));
                 }
-                Err(e) => return self.board_failed(&format!("cannot be dialled: {e}")),
+                Err(e) => return self.discovery_failed(&format!("cannot connect: {e}")),
             }
         }
-        self.dirty.insert(Source::Board);
+        self.runnable.insert(Source::Board);
     }
 
-    pub(super) fn serve_board(&mut self) {
+    /// Writes the rest of a poll and reads its response.
+    pub(super) fn serve_discovery(&mut self) {
         let now = self.now();
-        match self.write_board() {
-            Ok(()) | Err(Io::Blocked) => {}
-            Err(Io::Starved) => self.starve(Source::Board),
-            Err(Io::Closed | Io::Broken) => return self.board_failed("broken"),
+        match self.write_discovery() {
+            Ok(()) | Err(IoStatus::Blocked) => {}
+            Err(IoStatus::Shortage) => self.defer_for_shortage(Source::Board),
+            Err(IoStatus::Closed | IoStatus::Broken) => return self.discovery_failed("broken"),
         }
-        while let Some((sock, _)) = self.board.as_mut().filter(|(sock, _)| sock.readable) {
-            let (bytes, eof) = match sock.read(&mut self.buffer) {
+        while let Some((socket, _)) = self.discovery.as_mut().filter(|(socket, _)| socket.readable) {
+            let (bytes, eof) = match socket.read(&mut self.buffer) {
                 Ok(bytes) => (bytes, false),
-                Err(Io::Closed) => (0, true),
-                Err(Io::Broken) => return self.board_failed("broken"),
-                Err(Io::Blocked) => return,
-                Err(Io::Starved) => return self.starve(Source::Board),
+                Err(IoStatus::Closed) => (0, true),
+                Err(IoStatus::Broken) => return self.discovery_failed("broken"),
+                Err(IoStatus::Blocked) => return,
+                Err(IoStatus::Shortage) => return self.defer_for_shortage(Source::Board),
             };
-            let waiting = self.watch.waiting();
-            let fed = if waiting { self.watch.feed(now, &self.buffer[..bytes], eof) } else { Ok(None) };
-            let stray = match fed {
-                Ok(Some(news)) => {
+            let waiting = self.discovery_watch.waiting();
+            let response =
+                if waiting { self.discovery_watch.feed(now, &self.buffer[..bytes], eof) } else { Ok(None) };
+            let stray = match response {
+                Ok(Some(received)) => {
                     let unix = UnixTime::now();
-                    let inputs = news.notices.into_iter().map(|notice| Input::Notice { notice, unix });
+                    let inputs = received.notices.into_iter().map(|notice| Input::Notice { notice, unix });
                     self.inbox.extend(inputs);
-                    for doubt in &news.doubts {
-                        log_line!("an event of the board can't be read, and is taken as narrowly as can be: {doubt}");
+                    for problem in &received.doubts {
+                        log_line!("malformed discovery event, interpreted restrictively: {problem}");
                     }
-                    news.stray
+                    received.stray
                 }
                 Ok(None) => !waiting && bytes > 0,
-                Err(why) => return self.board_failed(&why),
+                Err(why) => return self.discovery_failed(&why),
             };
             if stray {
-                // It would be taken for the answer to the next poll.
+                // The extra bytes would be read as the response to the next poll.
                 self.reducer.counters.watch_faults += 1;
-                log_line!("the board says more than it was asked for: its connection ends");
-                return self.drop_board();
+                log_line!("unsolicited data from the discovery service; closing the connection");
+                return self.close_discovery();
             }
             if eof {
-                if self.watch.waiting() {
-                    return self.board_failed("closed");
+                if self.discovery_watch.waiting() {
+                    return self.discovery_failed("closed");
                 }
-                return self.drop_board();
+                return self.close_discovery();
             }
         }
     }
 
-    /// Writes what there is of a poll.
-    fn write_board(&mut self) -> Result<(), Io> {
-        let Some((sock, out)) = &mut self.board else { return Ok(()) };
-        while !out.is_empty() && sock.writable {
-            let bytes = sock.write(out)?;
-            out.drain(..bytes);
+    /// Writes as much of the pending poll as the socket accepts.
+    fn write_discovery(&mut self) -> Result<(), IoStatus> {
+        let Some((socket, output)) = &mut self.discovery else { return Ok(()) };
+        while !output.is_empty() && socket.writable {
+            let bytes = socket.write(output)?;
+            output.drain(..bytes);
         }
         Ok(())
     }
 
-    pub(super) fn drop_board(&mut self) {
-        if let Some((sock, _)) = self.board.take() {
-            self.drop_sock(&sock);
+    /// Closes the connection to the discovery service.
+    pub(super) fn close_discovery(&mut self) {
+        if let Some((socket, _)) = self.discovery.take() {
+            self.close_socket(&socket);
         }
     }
 
-    /// The poll has failed: what is known stands, and it is resumed from the last event.
-    pub(super) fn board_failed(&mut self, why: &str) {
-        self.drop_board();
+    /// Handles a failed poll. The endpoint list stays as it is, and polling resumes from the last event
+    /// received.
+    pub(super) fn discovery_failed(&mut self, why: &str) {
+        self.close_discovery();
         self.reducer.counters.watch_faults += 1;
-        log_line!("the board's poll failed: {why}");
+        log_line!("discovery poll failed: {why}");
         let now = self.now();
-        self.watch.failed(now);
+        self.discovery_watch.failed(now);
     }
 }
--- a/src/runtime/clients.rs
+++ b/src/runtime/clients.rs
@@ -1,6 +1,6 @@
-//! Clients' sockets: accepted, read, written, shed and closed. What they mean is [`front`]'s.
+//! Client sockets: accepting, reading, writing, shedding and closing. [`front`] implements the protocol.
 
-use super::socket::{Io, Sock};
+use super::socket::{IoStatus, PolledSocket};
 use super::{Runtime, Source};
 use crate::api::Millis;
 use crate::errno::{self, Verdict};
@@ -12,20 +12,20 @@
 use socket2::Socket;
 use std::rc::Rc;
 
-/// Bytes read from one client before others have their turn. What it has sent is heard to its end where that can be: it
-/// may be that it has left.
-const READ_AT_ONCE: usize = 512 * 1024;
-/// Connections accepted before others have their turn.
-const ACCEPT_AT_ONCE: usize = 64;
-/// Connections in one round that may have broken before they were accepted.
-const ACCEPT_FAULTS: usize = 8;
-/// How long to wait before accepting again when there is no descriptor for another connection.
+/// Bytes read from one client before other sockets are served. Large enough to usually reach the end of the
+/// received data, which tells whether the client has disconnected.
+const MAX_READ_BYTES: usize = 512 * 1024;
+/// Connections accepted before other sockets are served.
+const MAX_ACCEPTS: usize = 64;
+/// Connections that may fail before they are accepted, in one round of accepting.
+const MAX_ACCEPT_FAULTS: usize = 8;
+/// Pause before accepting again when no descriptor is available for another connection.
 const ACCEPT_PAUSE_MS: Millis = 20.0;
 
-/// What a client's connection has brought, for the reducer.
-pub(super) fn heard_input(conn: u64, heard: front::Heard) -> Input {
+/// Converts an event of a client connection to an input of the reducer.
+pub(super) fn client_input(conn: u64, event: front::Heard) -> Input {
     let client = |serial| Client { conn, serial };
-    match heard {
+    match event {
         front::Heard::Asked(serial, ask, age_ms) => Input::Asked { client: client(serial), ask, age_ms },
         front::Heard::Health(serial) => Input::Health { client: client(serial) },
         front::Heard::Aborted(serial) => Input::Aborted { client: client(serial) },
@@ -33,75 +33,78 @@
     }
 }
 
-/// How a round of accepting ended.
+/// The result of one round of accepting connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Accepted {
-    /// Nobody waits.
-    All,
-    /// More may wait: others have their turn first.
-    Some,
-    /// No more can be taken now; it is tried again shortly.
+pub(super) enum AcceptOutcome {
+    /// The accept queue is empty.
+    QueueEmpty,
+    /// More connections may be queued; other sockets are served first.
+    MorePending,
+    /// No more connections can be accepted now; accepting resumes after a short pause.
     Paused,
 }
 
 impl Runtime {
-    /// Accepts connections. Where the listener is to close, it does once nobody waits in its queue: what the system has
-    /// let in there is nobody else's, and a close would reset it.
-    pub(super) fn accept(&mut self) -> Accepted {
-        let accepted = self.accept_waiting();
+    /// Accepts connections. A listener that is to close is closed only when its queue is empty: the kernel
+    /// has completed the connections in the queue, no other process can accept them, and closing the listener
+    /// would reset them.
+    pub(super) fn accept(&mut self) -> AcceptOutcome {
+        let accepted = self.accept_pending();
         match accepted {
-            Accepted::All if self.stops_listening => self.close_listener(),
-            Accepted::All => {}
-            Accepted::Some => drop(self.dirty.insert(Source::Listener)),
-            Accepted::Paused => self.accept_from = Some(self.now() + ACCEPT_PAUSE_MS),
+            AcceptOutcome::QueueEmpty if self.closing_listener => self.close_listener(),
+            AcceptOutcome::QueueEmpty => {}
+            AcceptOutcome::MorePending => drop(self.runnable.insert(Source::Listener)),
+            AcceptOutcome::Paused => self.resume_accept_at = Some(self.now() + ACCEPT_PAUSE_MS),
         }
         accepted
     }
 
-    fn accept_waiting(&mut self) -> Accepted {
+    fn accept_pending(&mut self) -> AcceptOutcome {
         let mut faults = 0;
-        for _ in 0..ACCEPT_AT_ONCE {
-            let Some((listener, _)) = &self.listener else { return Accepted::All };
+        for _ in 0..MAX_ACCEPTS {
+            let Some((listener, _)) = &self.listener else { return AcceptOutcome::QueueEmpty };
             let listener = listener.clone();
-            if self.fronts.len() >= self.reducer.most_clients() && !self.shed_front() {
-                return Accepted::Paused;
+            if self.clients.len() >= self.reducer.most_clients() && !self.shed_client() {
+                return AcceptOutcome::Paused;
             }
             match listener.accept() {
                 Ok((stream, peer)) => {
-                    self.next_front += 1;
-                    let client = self.next_front;
-                    // Without these it is slower, or held up for a moment; that is no reason to reset a client.
+                    self.last_client += 1;
+                    let client = self.last_client;
+                    // Without these options the connection is slower or may block briefly, which is no reason
+                    // to reset it.
                     let set = stream.set_nonblocking(true).and_then(|()| stream.set_nodelay(true));
 
                     if let Err(e) = set {
-                        log_line!("an option of a client's connection can't be set: {e}");
+                        log_line!("cannot set an option of a client connection: {e}");
                     }
-                    let sock = self.watch(Rc::new(Socket::from(stream)), Source::Front(client), true);
+                    let socket =
+                        self.register_socket(Rc::new(Socket::from(stream)), Source::Front(client), true);
                     let conn = Conn::new(self.now()).patient(self.reducer.longest_ms());
-                    self.fronts.insert(client, (sock, conn));
+                    self.clients.insert(client, (socket, conn));
                     trace_event!(self.now(), "client_accepted", client, peer = %peer);
-                    self.dirty.insert(Source::Front(client));
-                    self.bound_lingering();
+                    self.runnable.insert(Source::Front(client));
+                    self.limit_lingering();
                 }
                 Err(e) => match errno::verdict(&e) {
-                    Verdict::WouldBlock => return Accepted::All,
+                    Verdict::WouldBlock => return AcceptOutcome::QueueEmpty,
                     Verdict::Interrupted => {}
-                    // What has become of a connection before it was accepted (accept(2)): the next one may be well.
+                    // The connection failed before it was accepted (accept(2)); the next one may be usable.
                     Verdict::Peer | Verdict::Unreachable => faults += 1,
                     Verdict::Shortage => {
-                        log_line!("cannot accept: {e}");
+                        log_line!("cannot accept a connection: {e}");
                         if Errno::from_io_error(&e) == Some(Errno::MFILE) {
-                            self.shed_front(); // Of this process's own descriptors one can be had.
+                            self.shed_client(); // Frees one of this process's own descriptors.
                         }
-                        return Accepted::Paused;
+                        return AcceptOutcome::Paused;
                     }
                 },
             }
-            if faults >= ACCEPT_FAULTS {
-                return Accepted::Paused;
+            if faults >= MAX_ACCEPT_FAULTS {
+                return AcceptOutcome::Paused;
             }
         }
-        Accepted::Some
+        AcceptOutcome::MorePending
     }
 
     fn close_listener(&mut self) {
@@ -111,177 +114,183 @@
         }
     }
 
-    /// Makes room for another client: the silent and then the longest idle ones go first. What has just come on one
-    /// is read before, as it isn't spare then; and it doesn't linger, since its descriptor is what is wanted.
-    pub(super) fn shed_front(&mut self) -> bool {
+    /// Closes one client connection to free its descriptor: first those that never sent a request, then those
+    /// idle longest. Reads from a candidate first, since it is in use if it has just sent something. The
+    /// connection does not linger, as that would keep the descriptor. Returns false if no connection can be
+    /// shed.
+    pub(super) fn shed_client(&mut self) -> bool {
         let now = self.now();
-        let spare = self.fronts.iter().filter_map(|(key, (_, conn))| Some((conn.spare(now)?, *key)));
+        let spare = self.clients.iter().filter_map(|(key, (_, conn))| Some((conn.spare(now)?, *key)));
         let mut spare: Vec<_> = spare.collect();
         spare.sort_unstable();
         for (_, key) in spare {
-            if self.read_unheard(key).is_none()
-                && self.fronts.get(&key).is_none_or(|(_, c)| c.spare(now).is_none())
+            if self.read_client_now(key).is_none()
+                && self.clients.get(&key).is_none_or(|(_, c)| c.spare(now).is_none())
             {
                 continue;
             }
             self.reducer.counters.clients_shed += 1;
-            self.end_front(key, ClientClose::Shed);
+            self.flush_and_close_client(key, ClientClose::Shed);
             return true;
         }
         false
     }
 
-    /// Looks for clients that are silent, deaf or gone, and for requests that should have been whole by now.
+    /// Closes connections that are idle, send no request or take no data, and rejects requests that are not
+    /// complete in time.
     pub(super) fn sweep(&mut self, now: Millis) {
-        let (mut over, mut idle) = (Vec::new(), Vec::new());
-        for (key, (_, conn)) in &mut self.fronts {
+        let (mut expired, mut idle) = (Vec::new(), Vec::new());
+        for (key, (_, conn)) in &mut self.clients {
             let before = conn.holding();
             match conn.standing(now) {
                 Standing::Good => {}
                 Standing::Over(reason) if conn.at_rest(now) => idle.push((*key, reason)),
-                Standing::Over(reason) => over.push((*key, reason)),
+                Standing::Over(reason) => expired.push((*key, reason)),
                 Standing::Late(late) => {
-                    self.inbox.extend(late.into_iter().map(|heard| heard_input(*key, heard)));
+                    self.inbox.extend(late.into_iter().map(|event| client_input(*key, event)));
                 }
             }
-            self.coming = self.coming + conn.holding() - before;
+            self.incoming_bytes = self.incoming_bytes + conn.holding() - before;
         }
-        self.reducer.counters.clients_stale += (over.len() + idle.len()) as u64;
-        over.into_iter().for_each(|(key, reason)| self.end_front(key, reason));
-        idle.into_iter().for_each(|(key, reason)| self.rest_front(key, reason));
+        self.reducer.counters.clients_stale += (expired.len() + idle.len()) as u64;
+        expired.into_iter().for_each(|(key, reason)| self.flush_and_close_client(key, reason));
+        idle.into_iter().for_each(|(key, reason)| self.close_idle_client(key, reason));
     }
 
-    /// Closes a connection that rests, unless its client has just sent something.
-    pub(super) fn rest_front(&mut self, key: u64, reason: ClientClose) {
-        match self.read_unheard(key) {
-            Some(over) => self.end_front(key, over),
-            None if self.fronts.get(&key).is_some_and(|(_, conn)| conn.at_rest(self.now())) => {
-                self.close_front(key, reason);
+    /// Closes an idle connection, unless its client has just sent something.
+    pub(super) fn close_idle_client(&mut self, key: u64, reason: ClientClose) {
+        match self.read_client_now(key) {
+            Some(reason) => self.flush_and_close_client(key, reason),
+            None if self.clients.get(&key).is_some_and(|(_, conn)| conn.at_rest(self.now())) => {
+                self.close_client(key, reason);
             }
-            None => drop(self.dirty.insert(Source::Front(key))),
+            None => drop(self.runnable.insert(Source::Front(key))),
         }
     }
 
-    pub(super) fn serve_front(&mut self, key: u64) {
-        if let Some(over) = self.read_front(key).or_else(|| self.write_front(key)) {
-            return self.end_front(key, over);
+    /// Reads from and writes to a client, and closes its connection if it is finished.
+    pub(super) fn serve_client(&mut self, key: u64) {
+        if let Some(reason) = self.read_client(key).or_else(|| self.write_client(key)) {
+            return self.flush_and_close_client(key, reason);
         }
-        let over = self.fronts.get(&key).and_then(|(_, conn)| conn.over());
-        if let Some(reason) = over {
-            self.close_front(key, reason);
+        let finished = self.clients.get(&key).and_then(|(_, conn)| conn.over());
+        if let Some(reason) = finished {
+            self.close_client(key, reason);
         }
     }
 
-    /// Reads what a client has sent, also where the loop has had no word of it yet.
-    pub(super) fn read_unheard(&mut self, key: u64) -> Option<ClientClose> {
-        self.fronts.get_mut(&key)?.0.readable = true;
-        self.read_front(key)
+    /// Reads what a client has sent, even if the event loop has not reported the socket as readable yet.
+    pub(super) fn read_client_now(&mut self, key: u64) -> Option<ClientClose> {
+        self.clients.get_mut(&key)?.0.readable = true;
+        self.read_client(key)
     }
 
-    /// Reads what a client has sent; why its connection is over, if it is.
-    pub(super) fn read_front(&mut self, key: u64) -> Option<ClientClose> {
+    /// Reads what a client has sent. Returns the reason to close the connection, if there is one.
+    pub(super) fn read_client(&mut self, key: u64) -> Option<ClientClose> {
         let mut read = 0;
         loop {
             let now = self.now();
-            let (sock, conn) = self.fronts.get_mut(&key)?;
-            if !sock.readable || !conn.listens() {
+            let (socket, conn) = self.clients.get_mut(&key)?;
+            if !socket.readable || !conn.listens() {
                 return None;
             }
-            if read >= READ_AT_ONCE {
-                self.dirty.insert(Source::Front(key));
+            if read >= MAX_READ_BYTES {
+                self.runnable.insert(Source::Front(key));
                 return None;
             }
-            let bytes = match sock.read(&mut self.buffer) {
+            let bytes = match socket.read(&mut self.buffer) {
                 Ok(bytes) => bytes,
-                Err(Io::Closed) => return Some(ClientClose::PeerClosed),
-                Err(Io::Broken) => return Some(ClientClose::PeerReset),
-                Err(Io::Blocked) => return None,
-                Err(Io::Starved) => {
-                    self.starve(Source::Front(key));
+                Err(IoStatus::Closed) => return Some(ClientClose::PeerClosed),
+                Err(IoStatus::Broken) => return Some(ClientClose::PeerReset),
+                Err(IoStatus::Blocked) => return None,
+                Err(IoStatus::Shortage) => {
+                    self.defer_for_shortage(Source::Front(key));
                     return None;
                 }
             };
             read += bytes;
             let before = conn.holding();
-            let (heard, fault) = conn.receive(now, &self.buffer[..bytes]);
-            self.coming = self.coming + conn.holding() - before;
+            let (events, fault) = conn.receive(now, &self.buffer[..bytes]);
+            self.incoming_bytes = self.incoming_bytes + conn.holding() - before;
             let bytes = conn.taken_back();
             if bytes > 0 {
                 self.inbox.push(Input::Flushed { conn: key, bytes });
             }
-            self.inbox.extend(heard.into_iter().map(|heard| heard_input(key, heard)));
+            self.inbox.extend(events.into_iter().map(|event| client_input(key, event)));
             if let Some(fault) = fault {
                 self.reducer.counters.client_faults += 1;
-                log_line!("a client's record can't be read: {fault:?}");
-                self.finish_front(key, ClientClose::Unreadable);
+                log_line!("malformed record from a client: {fault:?}");
+                self.stop_reading_client(key, ClientClose::Unreadable);
                 return None;
             }
-            if self.coming > self.most_coming {
-                self.relieve();
+            if self.incoming_bytes > self.max_incoming_bytes {
+                self.close_largest_sender();
             }
         }
     }
 
-    /// Requests that are coming in hold too much: the connection that holds most ends.
-    pub(super) fn relieve(&mut self) {
-        let most = self.fronts.iter().max_by_key(|(_, (_, conn))| conn.holding());
-        let Some(key) = most.map(|(key, _)| *key) else { return };
+    /// Stops reading from the client that holds the most memory with incomplete requests, and closes its
+    /// connection once it is answered.
+    pub(super) fn close_largest_sender(&mut self) {
+        let largest = self.clients.iter().max_by_key(|(_, (_, conn))| conn.holding());
+        let Some(key) = largest.map(|(key, _)| *key) else { return };
         self.reducer.counters.client_faults += 1;
-        log_line!("no memory for what a client sends");
-        self.finish_front(key, ClientClose::NoMemory);
+        log_line!("memory limit for incomplete requests reached; closing the largest client connection");
+        self.stop_reading_client(key, ClientClose::NoMemory);
     }
 
-    /// Nothing more is read from a client: what it has asked whole is answered, and then its connection is closed.
-    fn finish_front(&mut self, key: u64, reason: ClientClose) {
-        let Some((_, conn)) = self.fronts.get_mut(&key) else { return };
-        self.coming -= conn.holding();
+    /// Stops reading from a client. Its complete requests are answered, and then its connection is closed.
+    fn stop_reading_client(&mut self, key: u64, reason: ClientClose) {
+        let Some((_, conn)) = self.clients.get_mut(&key) else { return };
+        self.incoming_bytes -= conn.holding();
         conn.finish(reason);
         self.inbox.push(Input::Unreadable { conn: key });
-        self.dirty.insert(Source::Front(key));
+        self.runnable.insert(Source::Front(key));
     }
 
-    /// Writes what a client is owed; why its connection is over, if it is.
-    pub(super) fn write_front(&mut self, key: u64) -> Option<ClientClose> {
+    /// Writes pending answers to a client. Returns the reason to close the connection, if there is one.
+    pub(super) fn write_client(&mut self, key: u64) -> Option<ClientClose> {
         let (mut written, now) = (0, self.now());
-        let (sock, conn) = self.fronts.get_mut(&key)?;
-        let deaf = !conn.listens();
-        let mut starved = false;
-        let over = loop {
-            let Some(bytes) = conn.output().filter(|_| sock.writable) else { break None };
-            match sock.write(bytes) {
+        let (socket, conn) = self.clients.get_mut(&key)?;
+        let reading_stopped = !conn.listens();
+        let mut shortage = false;
+        let reason = loop {
+            let Some(bytes) = conn.output().filter(|_| socket.writable) else { break None };
+            match socket.write(bytes) {
                 Ok(bytes) => {
                     conn.wrote(now, bytes);
                     written += bytes;
                 }
-                Err(Io::Closed | Io::Broken) => break Some(ClientClose::PeerReset),
-                Err(Io::Blocked) => {
+                Err(IoStatus::Closed | IoStatus::Broken) => break Some(ClientClose::PeerReset),
+                Err(IoStatus::Blocked) => {
                     conn.blocked(now);
                     break None;
                 }
-                Err(Io::Starved) => {
-                    starved = true;
+                Err(IoStatus::Shortage) => {
+                    shortage = true;
                     break None;
                 }
             }
         };
-        let again = starved;
-        if deaf && conn.listens() && sock.readable {
-            self.dirty.insert(Source::Front(key));
+        let retry = shortage;
+        if reading_stopped && conn.listens() && socket.readable {
+            self.runnable.insert(Source::Front(key));
         }
-        if again {
-            self.starve(Source::Front(key));
+        if retry {
+            self.defer_for_shortage(Source::Front(key));
         }
         if written > 0 {
             self.inbox.push(Input::Flushed { conn: key, bytes: written });
         }
-        over
+        reason
     }
 
-    /// A client's connection is over: what is owed on it is written as far as that goes at once.
-    pub(super) fn end_front(&mut self, key: u64, reason: ClientClose) {
-        let peer_is_there = match reason {
+    /// Closes a client's connection after writing as much of the pending answers as the socket accepts at
+    /// once.
+    pub(super) fn flush_and_close_client(&mut self, key: u64, reason: ClientClose) {
+        let lingers = match reason {
             ClientClose::PeerClosed | ClientClose::PeerReset | ClientClose::Panic => false,
-            ClientClose::Shed => false, // It doesn't linger: its descriptor is what is wanted.
+            ClientClose::Shed => false, // Lingering would keep the descriptor that is needed.
             ClientClose::Unreadable
             | ClientClose::NoMemory
             | ClientClose::Silent
@@ -291,35 +300,36 @@
             | ClientClose::NotKept
             | ClientClose::ProcessExit => true,
         };
-        if peer_is_there && self.write_front(key).is_none() {
-            return self.close_front(key, reason);
+        if lingers && self.write_client(key).is_none() {
+            return self.close_client(key, reason);
         }
-        if let Some(sock) = self.forget_front(key, reason) {
-            self.drop_sock(&sock);
+        if let Some(socket) = self.remove_client(key, reason) {
+            self.close_socket(&socket);
         }
     }
 
-    /// Closes a client's connection from this side.
-    pub(super) fn close_front(&mut self, key: u64, reason: ClientClose) {
-        if let Some(sock) = self.forget_front(key, reason) {
-            self.linger(Source::Front(key), sock);
+    /// Closes a client's connection with a lingering close.
+    pub(super) fn close_client(&mut self, key: u64, reason: ClientClose) {
+        if let Some(socket) = self.remove_client(key, reason) {
+            self.linger(Source::Front(key), socket);
         }
     }
 
-    pub(super) fn forget_front(&mut self, key: u64, reason: ClientClose) -> Option<Sock> {
-        let (sock, conn) = self.fronts.remove(&key)?;
+    /// Removes a client and reports its close to the reducer. Returns its socket, which the caller closes.
+    pub(super) fn remove_client(&mut self, key: u64, reason: ClientClose) -> Option<PolledSocket> {
+        let (socket, conn) = self.clients.remove(&key)?;
         self.reducer.counters.reasons.client_closes.add(reason);
         let (open, owed, unwritten) = (conn.open(), conn.owed(), conn.unwritten());
         trace_event!(self.now(), "client_closed", client = key, reason = reason.key(), open, owed, unwritten);
-        // One that takes nothing of what it is owed can't be answered either.
+        // A client that stopped reading can't be answered either.
         let by_client =
             matches!(reason, ClientClose::PeerClosed | ClientClose::PeerReset | ClientClose::Deaf);
         if owed > 0 && !by_client {
-            let why = format_args!("client {key} was closed ({reason}) over {owed} requests");
-            self.violated(Violation::ClosedOwing, why);
+            let why = format_args!("client {key} was closed ({reason}) with {owed} requests unanswered");
+            self.report_violation(Violation::ClosedOwing, why);
         }
-        self.coming -= conn.holding();
+        self.incoming_bytes -= conn.holding();
         self.inbox.push(Input::Closed { conn: key });
-        Some(sock)
+        Some(socket)
     }
 }
--- a/src/runtime/drains.rs
+++ b/src/runtime/drains.rs
@@ -1,9 +1,10 @@
-//! Clients' connections while the router is emptied or ends: closed at rest, or, where they never come to rest, answered and
-//! closed in time. What is done when is [`Service::intake`]'s to say; this is the one place that carries it out.
+//! Client connections during a drain or shutdown: closed when idle or, if they never become idle, answered
+//! and closed in time. [`Service::intake`] decides what is done when; this module is the only one that
+//! carries it out.
 //!
-//! Beside it, what the log says of the service's states and of rules that were broken.
+//! Also logs state changes of the service, and violated guarantees.
 
-use super::clients::{heard_input, Accepted};
+use super::clients::{client_input, AcceptOutcome};
 use super::handover::Handover;
 use super::{Runtime, Source};
 use crate::api::Millis;
@@ -15,146 +16,153 @@
 use std::fmt;
 use std::net::Shutdown;
 
-/// At the end: how often what has come on a connection that is still owed something is read away.
-const LAST_READS: usize = 16;
-/// Time between two lines about one evacuation.
-const TELL_MS: Millis = 1000.0;
+/// Reads per connection, at most, that discard received data before a remaining connection is closed at
+/// process exit.
+const MAX_FINAL_READS: usize = 16;
+/// Interval between two log lines about the progress of a drain.
+const DRAIN_LOG_INTERVAL_MS: Millis = 1000.0;
 
 impl Runtime {
-    /// Closes the connections whose time has come.
+    /// Closes the connections that the current intake state no longer keeps.
     pub(super) fn drain_clients(&mut self) {
         let now = self.now();
         if self.reducer.service().intake(now) == Intake::Open {
             return;
         }
-        let ends = |conn: &Conn| conn.at_rest(now) || self.reducer.service().closes_busy(now, conn.latest());
-        let ending = self.fronts.iter().filter(|(_, (_, conn))| ends(conn));
-        let ending: Vec<u64> = ending.map(|(key, _)| *key).collect();
-        ending.into_iter().for_each(|key| self.drain_client(key));
-        self.work();
+        let is_due =
+            |conn: &Conn| conn.at_rest(now) || self.reducer.service().closes_busy(now, conn.latest());
+        let due = self.clients.iter().filter(|(_, (_, conn))| is_due(conn));
+        let due: Vec<u64> = due.map(|(key, _)| *key).collect();
+        due.into_iter().for_each(|key| self.drain_client(key));
+        self.process_inputs();
     }
 
-    /// Closes a connection, at rest or not, once what has come on it is read and answered.
+    /// Closes a connection, idle or not, after reading and answering what has been received on it.
     fn drain_client(&mut self, key: u64) {
-        if let Some(over) = self.read_unheard(key) {
-            return self.end_front(key, over);
+        if let Some(reason) = self.read_client_now(key) {
+            return self.flush_and_close_client(key, reason);
         }
         let now = self.now();
-        let Some((_, conn)) = self.fronts.get_mut(&key) else { return };
+        let Some((_, conn)) = self.clients.get_mut(&key) else { return };
         if !self.reducer.service().closes_busy(now, conn.latest()) {
             return match conn.at_rest(now) {
-                true => self.close_front(key, ClientClose::Draining),
-                // Something has just come, or has yet to be read.
+                true => self.close_client(key, ClientClose::Draining),
+                // Something has just been received, or is still to be read.
                 false if conn.settled() => {}
-                false => drop(self.dirty.insert(Source::Front(key))),
+                false => drop(self.runnable.insert(Source::Front(key))),
             };
         }
         let before = conn.holding();
         let cut_short = conn.cut_short();
-        self.coming = self.coming + conn.holding() - before;
-        self.inbox.extend(cut_short.into_iter().map(|heard| heard_input(key, heard)));
+        self.incoming_bytes = self.incoming_bytes + conn.holding() - before;
+        self.inbox.extend(cut_short.into_iter().map(|event| client_input(key, event)));
         self.inbox.push(Input::Closing { conn: key });
-        self.work();
-        if let Some(over) = self.write_front(key) {
-            return self.end_front(key, over);
+        self.process_inputs();
+        if let Some(reason) = self.write_client(key) {
+            return self.flush_and_close_client(key, reason);
         }
-        // A client that reads slowly is waited for; what it asks meanwhile is refused.
+        // A slow reader gets the time to read its answers; its further requests are refused.
         let now = self.now();
-        if self.fronts.get(&key).is_some_and(|(_, conn)| conn.closable(now)) {
-            self.close_front(key, ClientClose::Draining);
+        if self.clients.get(&key).is_some_and(|(_, conn)| conn.closable(now)) {
+            self.close_client(key, ClientClose::Draining);
         }
     }
 
-    /// When a connection that is to be closed may be, as its client has read what was written.
-    pub(super) fn drain_due(&self) -> Option<Millis> {
+    /// Returns when the next settled connection may be closed, once its client has read what was written.
+    pub(super) fn next_drain_check(&self) -> Option<Millis> {
         let now = self.now();
         if self.reducer.service().intake(now) == Intake::Open {
             return None;
         }
-        let settled = self.fronts.values().filter(|(_, conn)| conn.settled());
+        let settled = self.clients.values().filter(|(_, conn)| conn.settled());
         settled.map(|(_, conn)| conn.read_by()).filter(|at| *at > now).reduce(f64::min)
     }
 
-    /// No more connections are taken: those that the system has let in are accepted, and what has come by now is read.
+    /// Stops accepting connections. Accepts those in the listen queue, and reads what has been received by
+    /// now.
     pub(super) fn stop_listening(&mut self) {
-        self.stops_listening = true;
-        while self.accept() == Accepted::Some {} // There may be more than one turn takes.
+        self.closing_listener = true;
+        while self.accept() == AcceptOutcome::MorePending {} // One round may not empty the queue.
 
-        // It is nobody else's either: it is taken before the first request that comes too late.
-        let fronts: Vec<u64> = self.fronts.keys().copied().collect();
-        for key in fronts {
-            if let Some(over) = self.read_unheard(key) {
-                self.end_front(key, over);
+        // Received data can't be served by another process either, so it is read before later requests are
+        // refused.
+        let clients: Vec<u64> = self.clients.keys().copied().collect();
+        for key in clients {
+            if let Some(reason) = self.read_client_now(key) {
+                self.flush_and_close_client(key, reason);
             }
-            self.dirty.insert(Source::Front(key));
+            self.runnable.insert(Source::Front(key));
         }
         self.inbox.push(Input::DoorShut);
     }
 
-    /// Whether the process may end: nobody is connected and nothing is owed, or its time is up.
-    pub(super) fn over(&self) -> bool {
+    /// Returns whether the process may exit: no client is connected and nothing is pending, or the exit
+    /// deadline has passed.
+    pub(super) fn is_finished(&self) -> bool {
         let closed = || {
-            let all = self.fronts.is_empty() && self.lingering.is_empty() && self.listener.is_none();
-            // What it has said yes to is to be known to whoever follows.
-            all && self.reducer.open() == 0 && !self.handover.as_ref().is_some_and(Handover::owes)
+            let all = self.clients.is_empty() && self.lingering.is_empty() && self.listener.is_none();
+            // Changes confirmed to operators must be saved for the successor.
+            all && self.reducer.open() == 0
+                && !self.handover.as_ref().is_some_and(Handover::has_unsaved_changes)
         };
         self.exit_by.is_some_and(|by| self.now() >= by || closed())
     }
 
-    /// Its time is up with clients that still read: what has come is read away, so that the close resets nothing.
-    pub(super) fn close_rest(&mut self) {
-        let rest: Vec<u64> = self.fronts.keys().copied().collect();
-        for key in rest {
-            let Some(mut sock) = self.forget_front(key, ClientClose::ProcessExit) else { continue };
-            let _ = sock.stream.shutdown(Shutdown::Write); // It may have gone.
-            for _ in 0..LAST_READS {
-                if sock.read(&mut self.buffer).is_err() {
+    /// Closes the connections that remain at the exit deadline. Discards received data first, so that the
+    /// close resets no connection.
+    pub(super) fn close_remaining_clients(&mut self) {
+        let remaining: Vec<u64> = self.clients.keys().copied().collect();
+        for key in remaining {
+            let Some(mut socket) = self.remove_client(key, ClientClose::ProcessExit) else { continue };
+            let _ = socket.stream.shutdown(Shutdown::Write); // The peer may have disconnected.
+            for _ in 0..MAX_FINAL_READS {
+                if socket.read(&mut self.buffer).is_err() {
                     break;
                 }
             }
         }
     }
 
-    /// Tells of a change of state, with what is open then.
-    pub(super) fn tell_service(&mut self, before: Service) {
+    /// Logs a change of the service state, with the numbers of open clients and requests.
+    pub(super) fn log_service_change(&mut self, before: Service) {
         let after = self.reducer.service();
         if after == before {
             return;
         }
         let (from, to) = (before.key(), after.key());
-        let (clients, requests) = (self.fronts.len(), self.reducer.open());
+        let (clients, requests) = (self.clients.len(), self.reducer.open());
         trace_event!(self.now(), "service_changed", from, to, clients, requests);
         log_line!(always; "service: {from} -> {to}; clients={clients} requests={requests}");
-        self.drain_told_at = after.evacuated().map(|since| since + TELL_MS);
+        self.next_drain_log_at = after.evacuated().map(|since| since + DRAIN_LOG_INTERVAL_MS);
     }
 
-    /// Tells each second how many clients an evacuated router still has, until there are none.
-    pub(super) fn tell_drain(&mut self, now: Millis) {
+    /// Logs once per second how many clients an evacuated router still has, until there are none.
+    pub(super) fn log_drain_progress(&mut self, now: Millis) {
         let Some(since) = self.reducer.service().evacuated() else { return };
-        if self.drain_told_at.is_none_or(|at| now < at && !self.fronts.is_empty()) {
+        if self.next_drain_log_at.is_none_or(|at| now < at && !self.clients.is_empty()) {
             return;
         }
-        let (clients, requests, ms) = (self.fronts.len(), self.reducer.open(), now - since);
+        let (clients, requests, ms) = (self.clients.len(), self.reducer.open(), now - since);
         log_line!("evacuating for {ms:.0} ms: clients={clients} requests={requests}");
-        self.drain_told_at = (clients > 0).then_some(now + TELL_MS);
+        self.next_drain_log_at = (clients > 0).then_some(now + DRAIN_LOG_INTERVAL_MS);
     }
 
-    /// Counts the clients that an evacuated router should have let go of by now.
+    /// Reports a violation for each client connection that should be closed by the end of a drain.
     pub(super) fn audit_drain(&mut self) {
         let now = self.now();
         let recent = |conn: &Conn| conn.open_after(now - RECENT_MS);
-        // The time that a client takes to read doesn't count.
-        let held = self.fronts.iter().filter(|(_, (_, conn))| conn.closable(now) || recent(conn) > 0);
-        let held: Vec<(u64, usize, usize)> =
-            held.map(|(key, (_, conn))| (*key, recent(conn), conn.unwritten())).collect();
-        for (client, recent, unwritten) in held {
+        // Connections that stay open only until the client has read its answers don't count.
+        let remaining = self.clients.iter().filter(|(_, (_, conn))| conn.closable(now) || recent(conn) > 0);
+        let remaining: Vec<(u64, usize, usize)> =
+            remaining.map(|(key, (_, conn))| (*key, recent(conn), conn.unwritten())).collect();
+        for (client, recent, unwritten) in remaining {
             let why = format_args!("client {client} has {recent} recent requests, {unwritten} bytes unread");
-            self.violated(Violation::HeldPastDrain, why);
+            self.report_violation(Violation::HeldPastDrain, why);
         }
     }
 
-    /// Counts and tells of a rule that was broken.
-    pub(super) fn violated(&mut self, rule: Violation, why: fmt::Arguments<'_>) {
+    /// Counts and logs a violated guarantee.
+    pub(super) fn report_violation(&mut self, rule: Violation, why: fmt::Arguments<'_>) {
         self.reducer.counters.reasons.violations.add(rule);
         log_line!("violation: {rule}: {why}");
     }
--- a/src/runtime/events.rs
+++ b/src/runtime/events.rs
@@ -1,7 +1,8 @@
-//! What the log says, at debug level, of each request, attempt and answer: the reducer's inputs and effects as events.
+//! Debug-level events for each request, attempt and answer, derived from the reducer's inputs and effects.
 //!
-//! With `client_accepted`, `client_closed` and `endpoint_closed` beside them, one id can be followed from its last byte
-//! to its answer or to the close that ended it. Nothing here is formatted while the level is off.
+//! Together with `client_accepted`, `client_closed` and `endpoint_closed`, one id can be followed from the
+//! last byte of the request to its answer or to the close that ended it. Nothing is formatted while the debug
+//! level is disabled.
 
 use crate::api::Millis;
 use crate::log::tracing::{enabled, Level};
@@ -9,7 +10,7 @@
 use crate::reducer::{Effect, End, Failure, Input, Reply};
 use crate::trace_event;
 
-/// An input is given to the reducer.
+/// Logs an input of the reducer.
 pub(super) fn input(now: Millis, input: &Input) {
     if !enabled!(Level::DEBUG) {
         return;
@@ -57,14 +58,14 @@
     }
 }
 
-/// An effect is carried out.
+/// Logs an effect that is about to be executed.
 pub(super) fn effect(now: Millis, effect: &Effect) {
     if !enabled!(Level::DEBUG) {
         return;
     }
     match effect {
         Effect::Answer { client, reply } => {
-            let (client, serial, (answer, reason)) = (client.conn, client.serial, answer(reply));
+            let (client, serial, (answer, reason)) = (client.conn, client.serial, answer_fields(reply));
             trace_event!(now, "request_answered", client, serial, answer, reason);
         }
         Effect::Send { attempt, member, call } => {
@@ -86,7 +87,8 @@
     }
 }
 
-fn answer(reply: &Reply) -> (&'static str, &'static str) {
+/// Returns the fields `answer` and `reason` of a reply.
+fn answer_fields(reply: &Reply) -> (&'static str, &'static str) {
     match reply {
         Reply::Served(_) => ("served", ""),
         Reply::Unchanged => ("unchanged", ""),
--- a/src/runtime/fleet.rs
+++ b/src/runtime/fleet.rs
@@ -1,7 +1,9 @@
-//! The fleet's socket and clock. What a datagram means, and who is called gone, is [`crate::fleet`]'s.
+//! The socket and the timers of fleet membership. [`crate::fleet`] implements the protocol and detects failed
+//! routers.
 //!
-//! Of two processes of one router one speaks: the socket is bound without SO_REUSEPORT, so the system gives it to one of them and
-//! no datagram reaches the other. The older one has it until it is told to end and knows of a successor, or ends.
+//! Of two processes of one router only one takes part: the socket is bound without SO_REUSEPORT, so that only
+//! one process can bind it, and no datagram reaches the other. The older process keeps it until it exits, or
+//! until it has been asked to terminate and knows of a successor.
 
 use super::{Runtime, Source};
 use crate::api::Millis;
@@ -14,77 +16,84 @@
 use std::net::UdpSocket;
 use std::rc::Rc;
 
-/// Datagrams read before the loop goes on to other things.
-const MOST_A_TURN: usize = 64;
-/// Bytes that wait for this process in the kernel: some seconds of the largest fleet's.
-const WAITING: usize = 256 * 1024;
-/// Time between two tries for a place that another process still has.
-const BIND_MS: Millis = 50.0;
+/// Datagrams read before other sockets are served.
+const MAX_DATAGRAMS_PER_CYCLE: usize = 64;
+/// Size of the kernel's receive buffer: holds a few seconds of traffic of the largest fleet.
+const RECEIVE_BUFFER_BYTES: usize = 256 * 1024;
+/// Interval between attempts to bind the address while another process uses it.
+const BIND_RETRY_MS: Millis = 50.0;
 
-/// This router's seat in its fleet.
-pub(super) struct Seat {
+/// This process's membership in the router's fleet.
+pub(super) struct Member {
     settings: Settings,
     name: String,
     seed: u64,
-    /// None: another process of this router speaks.
-    speaks: Option<Speaks>,
-    /// When the place is tried again; none: this process has left it to its successor.
-    bind_at: Option<Millis>,
-    /// Datagrams that the system did not take.
+    /// `None` while another process of this router takes part.
+    active: Option<ActiveMember>,
+    /// When the next attempt to bind is due, in milliseconds of the boot clock; `None` while bound, and after
+    /// handing over to a successor.
+    retry_bind_at: Option<Millis>,
+    /// Datagrams that the kernel did not accept for sending.
     unsent: u64,
 }
 
-struct Speaks {
+/// The state of a process that takes part in the fleet.
+struct ActiveMember {
     fleet: Fleet,
     socket: Rc<UdpSocket>,
     token: RegistrationToken,
 }
 
-/// A steady clock that counts sleep, in milliseconds: the same for all processes of a machine.
+/// Returns the time since boot in milliseconds, including suspend; the same for all processes of a machine.
 fn boot_ms() -> Millis {
     BootTime::now().0
 }
 
 fn bind(settings: &Settings) -> io::Result<UdpSocket> {
-    let at = settings.listen;
-    let socket = Socket::new(Domain::for_address(at), Type::DGRAM, Some(Protocol::UDP))?;
+    let address = settings.listen;
+    let socket = Socket::new(Domain::for_address(address), Type::DGRAM, Some(Protocol::UDP))?;
     socket.set_nonblocking(true)?;
-    socket.set_recv_buffer_size(WAITING)?;
-    socket.bind(&at.into())?;
+    socket.set_recv_buffer_size(RECEIVE_BUFFER_BYTES)?;
+    socket.bind(&address.into())?;
     Ok(socket.into())
 }
 
-impl Seat {
-    /// Takes the seat, or waits for it where another process has it.
-    pub(super) fn take(
+impl Member {
+    /// Joins the fleet, or schedules another attempt if another process of this router has the address.
+    pub(super) fn join(
         handle: &LoopHandle<'static, Runtime>,
         settings: Settings,
         name: &str,
         seed: u64,
     ) -> Result<Self, String> {
-        // What is wrong with the names is told now, whoever has the socket.
+        // Reports invalid names at startup, even if another process has the socket.
         Fleet::new(settings.clone(), name, 1, 0.0, seed)?;
-        let mut seat = Self { settings, name: name.to_owned(), seed, speaks: None, bind_at: None, unsent: 0 };
-        let (at, fleet) = (seat.settings.listen, seat.settings.fleet.clone());
-        match super::patiently(|| seat.try_bind(handle)) {
-            Ok(true) => log_line!("fleet {fleet}: {name} hears the others at {at}, start {}", seat.start()),
+        let mut member =
+            Self { settings, name: name.to_owned(), seed, active: None, retry_bind_at: None, unsent: 0 };
+        let (address, fleet) = (member.settings.listen, member.settings.fleet.clone());
+        match super::retry_transient(|| member.try_bind(handle)) {
+            Ok(true) => {
+                log_line!("fleet {fleet}: {name} hears the others at {address}, start {}", member.start())
+            }
             Ok(false) => {
-                log_line!("fleet {fleet}: another process has {at}; this one speaks once that has let go")
+                log_line!("fleet {fleet}: another process uses {address}; waiting for it to be released")
             }
-            Err(e) => return Err(format!("hear the fleet at {at}: {e}")),
+            Err(e) => return Err(format!("listen for the fleet at {address}: {e}")),
         }
-        Ok(seat)
+        Ok(member)
     }
 
+    /// Returns the start number of the active member, or 0 while inactive.
     fn start(&self) -> u64 {
-        self.speaks.as_ref().map_or(0, |speaks| speaks.fleet.start())
+        self.active.as_ref().map_or(0, |active| active.fleet.start())
     }
 
+    /// Binds the socket and becomes active. Returns false if another process has the address.
     fn try_bind(&mut self, handle: &LoopHandle<'static, Runtime>) -> io::Result<bool> {
         let socket = match bind(&self.settings) {
             Ok(socket) => Rc::new(socket),
             Err(e) if e.kind() == ErrorKind::AddrInUse => {
-                self.bind_at = Some(boot_ms() + BIND_MS);
+                self.retry_bind_at = Some(boot_ms() + BIND_RETRY_MS);
                 return Ok(false);
             }
             Err(e) => return Err(e),
@@ -93,29 +102,29 @@
         let start = UnixTime::now().0 as u64;
         let fleet = Fleet::new(self.settings.clone(), &self.name, start, boot_ms(), self.seed);
         let fleet = fleet.map_err(io::Error::other)?;
-        (self.speaks, self.bind_at) = (Some(Speaks { fleet, socket, token }), None);
+        (self.active, self.retry_bind_at) = (Some(ActiveMember { fleet, socket, token }), None);
         Ok(true)
     }
 
-    /// What the operator's file said.
+    /// Returns the settings of the operator's file.
     pub(super) fn settings(&self) -> &Settings {
         &self.settings
     }
 
-    /// In how long something is due, in ms.
-    pub(super) fn due_in(&self) -> Option<Millis> {
-        let due = self.speaks.as_ref().map(|speaks| speaks.fleet.next_due()).or(self.bind_at)?;
-        Some(due - boot_ms())
+    /// Returns the time until the next timer, in milliseconds; negative if it is overdue.
+    pub(super) fn ms_until_due(&self) -> Option<Millis> {
+        let deadline = self.active.as_ref().map(|active| active.fleet.next_due()).or(self.retry_bind_at)?;
+        Some(deadline - boot_ms())
     }
 
-    /// The picture, where this process speaks.
+    /// Returns the membership view, if this process is active.
     pub(super) fn view(&self) -> Option<View> {
-        self.speaks.as_ref().map(|speaks| speaks.fleet.view(boot_ms()))
+        self.active.as_ref().map(|active| active.fleet.view(boot_ms()))
     }
 
-    /// What telemetry tells of it.
-    pub(super) fn figures(&self) -> Option<crate::ops::FleetFigures> {
-        let fleet = &self.speaks.as_ref()?.fleet;
+    /// Returns the fleet figures for telemetry, if this process is active.
+    pub(super) fn telemetry(&self) -> Option<crate::ops::FleetFigures> {
+        let fleet = &self.active.as_ref()?.fleet;
         let counts = fleet.counts();
         Some(crate::ops::FleetFigures {
             standing: fleet.standing(boot_ms()).0.word(),
@@ -124,12 +133,12 @@
         })
     }
 
-    /// Reads what has come; true if there may be more.
+    /// Reads received datagrams. Returns true if more may be pending.
     fn read(&mut self, buffer: &mut [u8]) -> bool {
-        let Some(Speaks { fleet, socket, .. }) = &mut self.speaks else { return false };
-        for _ in 0..MOST_A_TURN {
+        let Some(ActiveMember { fleet, socket, .. }) = &mut self.active else { return false };
+        for _ in 0..MAX_DATAGRAMS_PER_CYCLE {
             match socket.recv(buffer) {
-                // A datagram that is refused is counted there, and that is all it does.
+                // The fleet counts a refused datagram and otherwise ignores it.
                 Ok(bytes) => drop(fleet.heard(boot_ms(), &buffer[..bytes])),
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
                 Err(_) => return false,
@@ -138,27 +147,28 @@
         true
     }
 
-    fn carry_out(&mut self) {
-        let Some(Speaks { fleet, socket, .. }) = &mut self.speaks else { return };
-        let at = boot_ms();
+    /// Sends datagrams and logs changes as requested by the protocol.
+    fn execute_effects(&mut self) {
+        let Some(ActiveMember { fleet, socket, .. }) = &mut self.active else { return };
+        let now = boot_ms();
         for effect in fleet.effects() {
             match effect {
                 Effect::Send { to, bytes } => self.unsent += u64::from(socket.send_to(&bytes, to).is_err()),
                 Effect::Standing { says, term, ago_ms, heard_by: (by, of) } => {
-                    let (word, since) = (says.word(), at - ago_ms);
-                    log_line!(always; { standing = word, term } "fleet: {word} in term {term} since {since:.1}, at {at:.1}; {by} of {of} answer");
+                    let (status, since) = (says.word(), now - ago_ms);
+                    log_line!(always; { standing = status, term }
+                        "fleet: {status} in term {term} since {since:.1}, at {now:.1}; {by} of {of} answer");
                 }
                 Effect::Changed { name, start, term, states: (_, state), why } => {
-                    let word = state.word();
-                    log_line!(always; { router = %name, state = word } "fleet: {name} is {word} at {at:.1} (start {start}, term {term}): {why}");
+                    let status = state.word();
+                    log_line!(always; { router = %name, state = status }
+                        "fleet: {name} is {status} at {now:.1} (start {start}, term {term}): {why}");
                 }
                 Effect::Stalled(gap) => {
-                    log_line!("fleet: this process stood still for {gap:.0} ms until {at:.0}")
+                    log_line!("fleet: this process stood still for {gap:.0} ms until {now:.0}")
                 }
                 Effect::Renamed(start) => {
-                    log_line!(
-                        "fleet: another process went by this name; this one's start is {start} from now on"
-                    );
+                    log_line!("fleet: another process used this name; this one continues with start {start}");
                 }
             }
         }
@@ -166,65 +176,65 @@
 }
 
 impl Runtime {
-    /// What has come at the fleet's socket, some of it.
+    /// Reads and handles datagrams of the fleet's socket, up to a bound per cycle.
     pub(super) fn serve_fleet(&mut self) {
-        let Some(seat) = &mut self.seat else { return };
-        if seat.read(&mut self.buffer) {
-            self.dirty.insert(Source::Fleet);
+        let Some(member) = &mut self.fleet_member else { return };
+        if member.read(&mut self.buffer) {
+            self.runnable.insert(Source::Fleet);
         }
-        seat.carry_out();
+        member.execute_effects();
     }
 
-    /// The fleet's turn, if it is due.
-    pub(super) fn fleet_due(&mut self) {
+    /// Runs the fleet's timers that are due, and hands over to a successor if there is one.
+    pub(super) fn run_fleet_timers(&mut self) {
         let succeeded =
             self.reducer.ends() && self.handover.as_ref().is_some_and(|handover| handover.succeeded());
-        let Some(seat) = &mut self.seat else { return };
+        let Some(member) = &mut self.fleet_member else { return };
         if succeeded {
-            // Without a word: the successor is the same member, and speaks at once.
-            self.leave_seat(false);
+            // No leave message: the successor is the same member, and takes part at once.
+            self.leave_fleet(false);
             return;
         }
         let now = boot_ms();
-        if seat.bind_at.is_some_and(|at| at <= now) {
+        if member.retry_bind_at.is_some_and(|at| at <= now) {
             let handle = self.handle.clone();
-            match seat.try_bind(&handle) {
-                Ok(true) => log_line!("fleet: this process speaks now, start {}", seat.start()),
+            match member.try_bind(&handle) {
+                Ok(true) => log_line!("fleet: this process takes part now, start {}", member.start()),
                 Ok(false) => {}
                 Err(e) => {
-                    seat.bind_at = Some(now + 20.0 * BIND_MS);
-                    log_line!("fleet: the others can't be heard: {e}");
+                    member.retry_bind_at = Some(now + 20.0 * BIND_RETRY_MS);
+                    log_line!("fleet: cannot bind the socket: {e}");
                 }
             }
         }
-        if seat.speaks.as_ref().is_some_and(|speaks| speaks.fleet.next_due() <= now) {
-            // What has come before this turn is known before anybody is judged.
+        if member.active.as_ref().is_some_and(|active| active.fleet.next_due() <= now) {
+            // Received datagrams are handled before the timers can declare a member gone.
             self.serve_fleet();
-            let Some(seat) = &mut self.seat else { return };
-            if let Some(speaks) = &mut seat.speaks {
-                speaks.fleet.turn(boot_ms());
+            let Some(member) = &mut self.fleet_member else { return };
+            if let Some(active) = &mut member.active {
+                active.fleet.turn(boot_ms());
             }
-            seat.carry_out();
+            member.execute_effects();
         }
     }
 
-    /// This process speaks no more; `tells`: the others hear that the router ends.
-    pub(super) fn leave_seat(&mut self, tells: bool) {
-        let Some(seat) = &mut self.seat else { return };
-        if tells {
-            if let Some(speaks) = &mut seat.speaks {
-                speaks.fleet.leave(boot_ms());
+    /// Ends this process's part in the fleet; with `announce`, tells the others that the router leaves.
+    pub(super) fn leave_fleet(&mut self, announce: bool) {
+        let Some(member) = &mut self.fleet_member else { return };
+        if announce {
+            if let Some(active) = &mut member.active {
+                active.fleet.leave(boot_ms());
             }
-            seat.carry_out();
+            member.execute_effects();
         }
-        seat.bind_at = None;
-        if let Some(speaks) = seat.speaks.take() {
-            self.handle.remove(speaks.token);
+        member.retry_bind_at = None;
+        if let Some(active) = member.active.take() {
+            self.handle.remove(active.token);
         }
     }
 
-    /// The picture of the fleet for an operator.
-    pub(super) fn fleet_page(&self) -> Vec<u8> {
-        crate::ops::fleet(self.seat.as_ref().map(Seat::view))
+    /// Returns the HTTP response with the membership view, for an operator.
+    pub(super) fn fleet_response(&self) -> Vec<u8> {
+        crate::ops::fleet(self.fleet_member.as_ref().map(Member::view))
     }
 }
--- a/src/runtime/handover.rs
+++ b/src/runtime/handover.rs
@@ -1,5 +1,5 @@
-//! The folder below `$TMPDIR` in which the processes of one router meet: its file, changed by one at a time under a lock,
-//! and a file for each process that the system keeps locked as long as it runs.
+//! The files in `$TMPDIR` that the processes of one router share: a state file that is changed under a lock,
+//! and for each process a file that stays locked as long as the process runs.
 
 use super::Runtime;
 use crate::api::Millis;
@@ -15,75 +15,81 @@
 use std::time::{Duration, Instant};
 use twox_hash::XxHash64;
 
-/// How long a call waits for the lock. The other process holds it for one small write; it may be off its core.
-const LOCK_PATIENCE: Duration = Duration::from_millis(150);
-const LOCK_PAUSE: Duration = Duration::from_millis(2);
-/// How the file that shows that a process runs ends.
-const ALIVE: &str = "alive";
+/// How long a call waits for the lock. The other process holds it for one small write, but may not be
+/// scheduled meanwhile.
+const LOCK_TIMEOUT: Duration = Duration::from_millis(150);
+/// Interval between attempts to take the lock.
+const LOCK_RETRY_INTERVAL: Duration = Duration::from_millis(2);
+/// Suffix of the file that is locked while its process runs.
+const ALIVE_SUFFIX: &str = "alive";
 
-/// The folder on the disk.
+/// The files on disk.
 #[derive(Debug)]
 pub(super) struct DiskFolder {
-    /// The shared file.
+    /// The shared state file.
     path: PathBuf,
-    /// What this process writes beside it.
+    /// The temporary file that replaces the state file.
     part: PathBuf,
+    /// The temporary file, while it is not synced.
     written: Option<File>,
-    me: u64,
-    /// Locked as long as this process runs; none: it could not be made yet.
+    /// The number of this process in file names and in the state file.
+    process: u64,
+    /// Locked as long as this process runs; `None` while it can't be created.
     alive: Option<File>,
 }
 
-/// A lock that the system takes back from a process that dies.
+/// A file lock, which the kernel releases when the process dies.
 #[derive(Debug)]
-pub(super) struct Lock(#[allow(dead_code)] File); // Held, never read.
+pub(super) struct Lock(#[allow(dead_code)] File); // Owned for its drop only.
 
 impl DiskFolder {
-    fn new(path: PathBuf, me: u64) -> Self {
+    fn new(path: PathBuf, process: u64) -> Self {
         let part = path.with_extension(format!("{}.part", std::process::id()));
-        let mut folder = Self { path, part, written: None, me, alive: None };
-        folder.show_alive();
+        let mut folder = Self { path, part, written: None, process, alive: None };
+        folder.lock_alive_file();
         folder
     }
 
     fn alive_path(&self, process: u64) -> PathBuf {
-        self.path.with_extension(format!("{process:016x}.{ALIVE}"))
+        self.path.with_extension(format!("{process:016x}.{ALIVE_SUFFIX}"))
     }
 
-    /// Shows other processes that this one runs, once that can be done.
-    fn show_alive(&mut self) {
+    /// Creates and locks the file that shows other processes that this one runs, if that is not done yet.
+    fn lock_alive_file(&mut self) {
         if self.alive.is_some() {
             return;
         }
-        let file = File::options().create(true).truncate(false).write(true).open(self.alive_path(self.me));
+        let file =
+            File::options().create(true).truncate(false).write(true).open(self.alive_path(self.process));
         self.alive = file.ok().filter(|file| file.try_lock().is_ok());
     }
 
-    /// Files of other processes of this router that show that they run.
-    fn shown(&self) -> io::Result<Vec<PathBuf>> {
+    /// Returns the liveness files of other processes of this router.
+    fn other_alive_files(&self) -> io::Result<Vec<PathBuf>> {
         let folder = self.path.parent().unwrap_or(Path::new("."));
         let prefix = self.path.file_stem().unwrap_or_default().to_string_lossy().into_owned() + ".";
-        let own = self.alive_path(self.me);
-        let mut shown = Vec::new();
+        let own = self.alive_path(self.process);
+        let mut files = Vec::new();
         for entry in fs::read_dir(folder)? {
             let path = entry?.path();
             let name = path.file_name().unwrap_or_default().to_string_lossy().into_owned();
-            if name.starts_with(&prefix) && name.ends_with(ALIVE) && path != own {
-                shown.push(path);
+            if name.starts_with(&prefix) && name.ends_with(ALIVE_SUFFIX) && path != own {
+                files.push(path);
             }
         }
-        Ok(shown)
+        Ok(files)
     }
 }
 
-/// Whether somebody holds the lock of a file that shows that a process runs; `None`: there is no such file.
+/// Returns whether a process holds the lock of a liveness file; `None` if there is no such file. Removes the
+/// file of a process that has died.
 fn is_locked(path: &Path) -> Option<bool> {
     match File::open(path) {
         Err(e) if e.kind() == ErrorKind::NotFound => None,
-        Err(_) => Some(true), // In doubt it runs.
+        Err(_) => Some(true), // Assume that the process runs.
         Ok(file) => match file.try_lock_shared() {
             Ok(()) => {
-                let _ = fs::remove_file(path); // Its process has died; another may have seen to it.
+                let _ = fs::remove_file(path); // Another process may have removed it.
                 Some(false)
             }
             Err(_) => Some(true),
@@ -97,15 +103,15 @@
     fn lock(&mut self) -> io::Result<Lock> {
         let path = self.path.with_extension("lock");
         let file = File::options().create(true).truncate(false).write(true).open(path)?;
-        let from = Instant::now();
+        let started = Instant::now();
         loop {
             match file.try_lock() {
                 Ok(()) => return Ok(Lock(file)),
                 Err(TryLockError::Error(e)) => return Err(e),
-                Err(TryLockError::WouldBlock) if from.elapsed() >= LOCK_PATIENCE => {
-                    return Err(io::Error::new(ErrorKind::TimedOut, "another process holds its lock"));
+                Err(TryLockError::WouldBlock) if started.elapsed() >= LOCK_TIMEOUT => {
+                    return Err(io::Error::new(ErrorKind::TimedOut, "another process holds the lock"));
                 }
-                Err(TryLockError::WouldBlock) => std::thread::sleep(LOCK_PAUSE),
+                Err(TryLockError::WouldBlock) => std::thread::sleep(LOCK_RETRY_INTERVAL),
             }
         }
     }
@@ -139,89 +145,93 @@
     }
 
     fn is_alive(&self, process: u64) -> Option<bool> {
-        if process == self.me {
+        if process == self.process {
             return Some(true);
         }
         is_locked(&self.alive_path(process))
     }
 
     fn others_run(&self) -> bool {
-        let shown = self.shown();
-        shown.map_or(true, |shown| shown.iter().any(|path| is_locked(path) == Some(true)))
+        let files = self.other_alive_files();
+        files.map_or(true, |files| files.iter().any(|path| is_locked(path) == Some(true)))
     }
 }
 
 impl Drop for DiskFolder {
-    /// Nothing of this process's own is left behind.
+    /// Removes the files of this process.
     fn drop(&mut self) {
-        let _ = fs::remove_file(&self.part); // It may not have been made.
+        let _ = fs::remove_file(&self.part); // It may not exist.
         if self.alive.is_some() {
-            let _ = fs::remove_file(self.alive_path(self.me)); // Another may have seen to it.
+            let _ = fs::remove_file(self.alive_path(self.process)); // Another process may have removed it.
         }
     }
 }
 
-/// What this process shares with others of its router.
+/// The state that the processes of this router share.
 #[derive(Debug)]
 pub(super) struct Handover {
     store: Store<DiskFolder>,
-    /// The part of the cold budget that this process has taken.
-    part: f64,
+    /// The share of the cold budget that this process may spend, 0 to 1.
+    cold_share: f64,
 }
 
 impl Handover {
-    /// The file of the router that listens there.
+    /// Opens the shared state of the router that listens at the address `listen`.
     pub(super) fn new(listen: &str, seed: u64) -> Self {
         let name: String =
-            listen.chars().map(|one| if one.is_ascii_alphanumeric() { one } else { '-' }).collect();
+            listen.chars().map(|char| if char.is_ascii_alphanumeric() { char } else { '-' }).collect();
         let path = std::env::temp_dir().join(format!("frostturn-{name}.state"));
         let now = Now::read();
-        let drawn = format!("{seed} {} {}", std::process::id(), now.boot.0);
-        let me = XxHash64::oneshot(0, drawn.as_bytes());
-        Self { store: Store::new(DiskFolder::new(path, me), me, listen, &boot_id(), now), part: 1.0 }
+        let unique = format!("{seed} {} {}", std::process::id(), now.boot.0);
+        let process = XxHash64::oneshot(0, unique.as_bytes());
+        Self {
+            store: Store::new(DiskFolder::new(path, process), process, listen, &boot_id(), now),
+            cold_share: 1.0,
+        }
     }
 
-    /// Whether this process, which was told to end, has left its part to another one that runs.
+    /// Returns whether another running process has taken over from this one, which is shutting down.
     pub(super) fn succeeded(&self) -> bool {
         self.store.is_succeeded(BootTime::now())
     }
 
-    /// Whether it has said yes to something that is in no file.
-    pub(super) fn owes(&self) -> bool {
+    /// Returns whether a change that was confirmed to an operator is not saved in the file.
+    pub(super) fn has_unsaved_changes(&self) -> bool {
         self.store.owes()
     }
 
-    /// In how long it is to be looked at, at the latest.
-    pub(super) fn due_in(&self) -> Millis {
+    /// Returns the time until the file must be checked again, in milliseconds.
+    pub(super) fn ms_until_due(&self) -> Millis {
         self.store.due().since(BootTime::now()).max(0.0)
     }
 }
 
 impl Runtime {
-    /// Takes over what another process of this router has saved, if there is anything new, and keeps the file fresh.
-    pub(super) fn take_state(&mut self) {
+    /// Applies changes saved by other processes of this router, and keeps this process's entry in the file up
+    /// to date.
+    pub(super) fn sync_state(&mut self) {
         let ends = self.reducer.ends();
         let Some(handover) = &mut self.handover else { return };
         let reducer = &self.reducer;
-        handover.store.folder_mut().show_alive();
+        handover.store.folder_mut().lock_alive_file();
         handover.store.upkeep(Now::read(), ends, |name| reducer.lists(name));
-        self.heed_state();
+        self.apply_shared_state();
     }
 
-    /// Tells the reducer what has changed.
-    fn heed_state(&mut self) {
+    /// Passes changes of the shared state to the reducer.
+    fn apply_shared_state(&mut self) {
         let Some(handover) = &mut self.handover else { return };
         let excluded = handover.store.state().excluded();
         if excluded.differing(self.reducer.excluded()).next().is_some() {
             self.inbox.push(Input::HandedOver { excluded: excluded.clone() });
         }
-        let part = handover.store.cold_part(BootTime::now());
-        if std::mem::replace(&mut handover.part, part) != part {
-            self.inbox.push(Input::ColdPart(part));
+        let share = handover.store.cold_part(BootTime::now());
+        if std::mem::replace(&mut handover.cold_share, share) != share {
+            self.inbox.push(Input::ColdPart(share));
         }
     }
 
-    /// Saves an operator's change for all processes, or says why it doesn't hold.
+    /// Saves an operator's change for all processes, and passes the result to the reducer.
     pub(super) fn change_state(&mut self, caller: u64, name: &str, out: bool) {
         let ends = self.reducer.ends();
         let Some(handover) = &mut self.handover else { return };
@@ -229,22 +239,25 @@
             Ok(()) => Ok(handover.store.state().excluded().clone()),
             Err(Unchanged::TooMany(_)) => Err(Verdict::TooMany),
             Err(Unchanged::Unknowing) => {
-                log_line!("a change of {name} is not made: another process knows what was said before, and its file is spoilt");
+                log_line!(
+                    "change of {name} rejected: unusable state file, and another process has earlier changes"
+                );
                 Err(Verdict::Unsaved)
             }
             Err(Unchanged::Unsaved(e)) => {
-                log_line!("a change of {name} is not made, as it can't be saved: {e}");
+                log_line!("change of {name} rejected: can't be saved: {e}");
                 Err(Verdict::Unsaved)
             }
         };
-        self.step(Input::Changed { caller, result });
+        self.handle_input(Input::Changed { caller, result });
     }
 
-    /// This process ends: whoever runs on has the whole budget.
-    pub(super) fn leave_state(&mut self) {
-        let left = self.handover.as_mut().map(|handover| handover.store.leave(Now::read()));
-        if let Some(Err(Unchanged::Unsaved(e))) = left {
-            log_line!("that this process ends can't be saved: {e}");
+    /// Removes this process from the shared state at exit, so that the remaining processes have the whole
+    /// cold budget.
+    pub(super) fn release_state(&mut self) {
+        let saved = self.handover.as_mut().map(|handover| handover.store.leave(Now::read()));
+        if let Some(Err(Unchanged::Unsaved(e))) = saved {
+            log_line!("the exit of this process can't be saved: {e}");
         }
     }
 }
--- a/src/runtime/machines.rs
+++ b/src/runtime/machines.rs
@@ -1,7 +1,7 @@
-//! Machines' sockets: dialled, read and written. What is on which connection is [`back`]'s, and which way it goes
-//! [`crate::addresses`]'.
+//! Sockets to machines: dialling, reading and writing. [`back`] assigns attempts to connections, and
+//! [`crate::addresses`] chooses the endpoints.
 
-use super::socket::{dial, dial_end, Io};
+use super::socket::{dial, dial_end, IoStatus};
 use super::{Runtime, Source};
 use crate::addresses::{DialKey, Endpoint, Failure};
 use crate::api::{CacheId, LoadReport, Outcome};
@@ -12,50 +12,51 @@
 use std::io;
 use std::rc::Rc;
 
-/// Bytes read from one machine before others have their turn.
-const READ_AT_ONCE: usize = 512 * 1024;
+/// Bytes read from one machine before other sockets are served.
+const MAX_READ_BYTES: usize = 512 * 1024;
 
 impl Runtime {
+    /// Reports a probe that could not be sent, or whose connection was lost.
     pub(super) fn probe_failed(&mut self, member: crate::api::CacheId) {
         let (outcome, report) = (Outcome::ConnectFailed, LoadReport::default());
         self.inbox.push(Input::Probed { member, outcome, report });
     }
 
-    /// Queues an attempt.
-    pub(super) fn send(&mut self, attempt: AttemptKey, member: &CacheId, call: &Call) {
+    /// Queues an attempt for sending.
+    pub(super) fn send_attempt(&mut self, attempt: AttemptKey, member: &CacheId, call: &Call) {
         match self.links.send(self.now(), attempt, member, call) {
-            Ok((key, _)) => self.queued(key),
+            Ok((key, _)) => self.schedule_write(key),
             Err(Unsent::NoRoom) => self.inbox.push(Input::Ended { attempt, end: End::NoRoom }),
             Err(Unsent::NoPath) => {
-                log_line!({ machine = %member, attempt } "no address of {member} is its own now");
+                log_line!({ machine = %member, attempt } "no usable address for {member}");
                 self.inbox.push(Input::Ended { attempt, end: End::Lost(Progress::NotConnected) });
             }
         }
     }
 
-    /// Something is queued for a machine. It leaves, and is dialled for, once all that the wake has brought is heard:
-    /// its client may have left, or its machine.
-    pub(super) fn queued(&mut self, key: LinkKey) {
-        self.dirty.insert(Source::Link(key));
+    /// Schedules writing to a machine, dialling it if necessary. The write happens after all events of the
+    /// current wake-up are handled, as the client or the machine may have left.
+    pub(super) fn schedule_write(&mut self, key: LinkKey) {
+        self.runnable.insert(Source::Link(key));
     }
 
-    /// Dials and closes dials as the races ask for it, until none is due.
-    pub(super) fn dial_due(&mut self) {
+    /// Starts and closes dials as the connection races require, until nothing is due.
+    pub(super) fn run_dials(&mut self) {
         loop {
-            let todo = self.links.poll(self.now());
-            if todo.is_empty() {
+            let actions = self.links.poll(self.now());
+            if actions.is_empty() {
                 return;
             }
-            self.dialling(todo);
+            self.apply_dial_actions(actions);
         }
     }
 
-    fn dialling(&mut self, todo: Vec<Dialling>) {
-        for one in todo {
-            match one {
+    fn apply_dial_actions(&mut self, actions: Vec<Dialling>) {
+        for action in actions {
+            match action {
                 Dialling::Start(key, number, endpoint) => self.start_dial(key, number, &endpoint),
                 Dialling::Close(number) => self.close_dial(number),
-                Dialling::Left(left) => say_left(&left),
+                Dialling::Left(left) => log_avoided_endpoint(&left),
             }
         }
     }
@@ -64,21 +65,22 @@
         self.reducer.counters.dials += 1;
         match dial(endpoint) {
             Ok(stream) => {
-                let sock = self.watch(Rc::new(stream), Source::Dial(number), false);
-                self.dials.insert(number, (key, endpoint.clone(), sock));
+                let socket = self.register_socket(Rc::new(stream), Source::Dial(number), false);
+                self.dials.insert(number, (key, endpoint.clone(), socket));
             }
-            Err(e) => self.dial_over(key, number, endpoint, &e),
+            Err(e) => self.dial_failed(key, number, endpoint, &e),
         }
     }
 
+    /// Closes the socket of a dial.
     pub(super) fn close_dial(&mut self, number: DialKey) {
-        if let Some((.., sock)) = self.dials.remove(&number) {
-            self.drop_sock(&sock);
+        if let Some((.., socket)) = self.dials.remove(&number) {
+            self.close_socket(&socket);
         }
     }
 
-    /// A dial has failed: the race goes on, or the connection never comes up.
-    fn dial_over(&mut self, key: LinkKey, number: DialKey, endpoint: &Endpoint, error: &io::Error) {
+    /// Handles a failed dial: the race continues with other endpoints, or the connection fails.
+    fn dial_failed(&mut self, key: LinkKey, number: DialKey, endpoint: &Endpoint, error: &io::Error) {
         self.close_dial(number);
         self.reducer.counters.dials_failed += 1;
         let machine = self.links.member(key).map(CacheId::to_string).unwrap_or_default();
@@ -89,92 +91,96 @@
         };
         log_line!({ machine, address = %endpoint, outcome = why } "no connection to {endpoint}: {why}");
         if let Some(left) = self.links.dial_failed(self.now(), key, number, end) {
-            say_left(&left);
+            log_avoided_endpoint(&left);
         }
     }
 
-    /// A dial that is ready: it is up, or has failed.
+    /// Checks a dial that is ready: it is connected or has failed.
     pub(super) fn serve_dial(&mut self, number: DialKey) {
-        let Some((key, endpoint, sock)) = self.dials.get(&number) else { return };
+        let Some((key, endpoint, socket)) = self.dials.get(&number) else { return };
         let (key, endpoint) = (*key, endpoint.clone());
-        if !sock.writable {
+        if !socket.writable {
             return;
         }
-        match sock.stream.take_error() {
-            Ok(None) => match sock.stream.peer_addr() {
+        match socket.stream.take_error() {
+            Ok(None) => match socket.stream.peer_addr() {
                 Ok(_) => {}
                 Err(e) if e.kind() == io::ErrorKind::NotConnected => return,
-                Err(_) => return self.starve(Source::Dial(number)),
+                Err(_) => return self.defer_for_shortage(Source::Dial(number)),
             },
             Ok(Some(e)) => {
-                self.dial_over(key, number, &endpoint, &e);
-                return self.dial_due();
+                self.dial_failed(key, number, &endpoint, &e);
+                return self.run_dials();
             }
-            Err(_) => return self.starve(Source::Dial(number)), // That it can't be asked says nothing of it.
+            // A failure to read the socket's error says nothing about the connection.
+            Err(_) => return self.defer_for_shortage(Source::Dial(number)),
         }
         let now = self.now();
-        let Some(todo) = self.links.up(now, key, number) else { return self.close_dial(number) };
+        let Some(actions) = self.links.up(now, key, number) else { return self.close_dial(number) };
         if let Some((.., dialled)) = self.dials.remove(&number) {
-            self.drop_sock(&dialled);
-            let sock = self.watch(dialled.stream, Source::Link(key), true);
-            self.link_socks.insert(key, sock);
-            self.dirty.insert(Source::Link(key));
+            self.close_socket(&dialled);
+            let socket = self.register_socket(dialled.stream, Source::Link(key), true);
+            self.link_sockets.insert(key, socket);
+            self.runnable.insert(Source::Link(key));
         }
-        self.dialling(todo);
-        self.dial_due();
+        self.apply_dial_actions(actions);
+        self.run_dials();
     }
 
-    /// What time has brought: races that go on, paths that fell mute, connections that are over.
-    pub(super) fn links_due(&mut self) {
+    /// Runs connection timers: continues races, leaves endpoints that do not respond, and closes expired
+    /// connections.
+    pub(super) fn run_link_timers(&mut self) {
         let now = self.now();
         let (left, moved) = self.links.mute(now);
-        left.iter().for_each(say_left);
-        moved.into_iter().for_each(|key| self.queued(key));
-        self.dial_due();
+        left.iter().for_each(log_avoided_endpoint);
+        moved.into_iter().for_each(|key| self.schedule_write(key));
+        self.run_dials();
         for (key, why) in self.links.expired(now) {
-            self.link_down(key, why);
+            self.close_link(key, why);
         }
     }
 
+    /// Reads from and writes to a machine, and closes the connection if it has failed.
     pub(super) fn serve_link(&mut self, key: LinkKey) {
-        if !self.link_socks.contains_key(&key) {
+        if !self.link_sockets.contains_key(&key) {
             return;
         }
-        // Reading goes first: a close by the other side is seen before anything is written into it.
+        // Reading first detects a close by the peer before anything is written to the connection.
         if let Some(why) = self.read_link(key).or_else(|| self.write_link(key)) {
-            self.link_down(key, why);
+            self.close_link(key, why);
         }
     }
 
+    /// Reads from a machine. Returns the reason to close the connection, if there is one.
     pub(super) fn read_link(&mut self, key: LinkKey) -> Option<EndpointClose> {
         let mut read = 0;
         loop {
             let now = self.now();
-            let sock = self.link_socks.get_mut(&key)?;
-            // One that rests may have been closed with no word from the loop yet.
+            let socket = self.link_sockets.get_mut(&key)?;
+            // The peer may have closed an idle connection without the event loop having reported it yet.
             let may_have_closed = read == 0 && self.links.rested(key);
-            if !sock.readable && !may_have_closed {
+            if !socket.readable && !may_have_closed {
                 return None;
             }
-            if read > READ_AT_ONCE {
-                self.dirty.insert(Source::Link(key));
+            if read > MAX_READ_BYTES {
+                self.runnable.insert(Source::Link(key));
                 return None;
             }
-            let bytes = match sock.read(&mut self.buffer) {
+            let bytes = match socket.read(&mut self.buffer) {
                 Ok(bytes) => bytes,
-                Err(Io::Closed) => return Some(EndpointClose::PeerClosed),
-                Err(Io::Broken) => return Some(EndpointClose::Broken),
-                Err(Io::Blocked) => return None,
-                Err(Io::Starved) => {
-                    self.starve(Source::Link(key));
+                Err(IoStatus::Closed) => return Some(EndpointClose::PeerClosed),
+                Err(IoStatus::Broken) => return Some(EndpointClose::Broken),
+                Err(IoStatus::Blocked) => return None,
+                Err(IoStatus::Shortage) => {
+                    self.defer_for_shortage(Source::Link(key));
                     return None;
                 }
             };
             read += bytes;
-            let (heard, fault) = self.links.receive(now, key, &self.buffer[..bytes]);
-            for heard in heard {
+            let (events, fault) = self.links.receive(now, key, &self.buffer[..bytes]);
+            for event in events {
                 let counters = &mut self.reducer.counters;
-                self.inbox.push(match heard {
+                self.inbox.push(match event {
                     back::Heard::Answer(attempt, answer) => {
                         Input::Ended { attempt, end: End::Answer(answer) }
                     }
@@ -186,7 +192,7 @@
                     }
                     back::Heard::Unknown => {
                         counters.answers_unknown += 1;
-                        log_line!("an answer with an unknown id");
+                        log_line!("answer from a machine with an unknown id");
                         continue;
                     }
                 });
@@ -196,43 +202,45 @@
                     return Some(EndpointClose::WrongName);
                 }
                 self.reducer.counters.endpoint_faults += 1;
-                log_line!("a machine's answer can't be read: {}", fault.0);
+                log_line!("malformed answer from a machine: {}", fault.0);
                 return Some(EndpointClose::Unreadable);
             }
         }
     }
 
+    /// Writes queued attempts to a machine. Returns the reason to close the connection, if there is one.
     pub(super) fn write_link(&mut self, key: LinkKey) -> Option<EndpointClose> {
         loop {
-            if !self.link_socks.get(&key)?.writable {
+            if !self.link_sockets.get(&key)?.writable {
                 return None;
             }
             if let Some(attempt) = self.links.unbegun(key) {
-                if !self.may_begin(key, attempt) {
+                if !self.admit_attempt(key, attempt) {
                     continue;
                 }
             }
             let now = self.now();
-            let sock = self.link_socks.get_mut(&key)?;
+            let socket = self.link_sockets.get_mut(&key)?;
             let bytes = self.links.output(key)?;
-            match sock.write(bytes) {
+            match socket.write(bytes) {
                 Ok(bytes) => {
                     if let Some((attempt, progress)) = self.links.wrote(now, key, bytes) {
                         self.inbox.push(Input::Progressed { attempt, progress });
                     }
                 }
-                Err(Io::Closed | Io::Broken) => return Some(EndpointClose::Broken),
-                Err(Io::Blocked) => return None,
-                Err(Io::Starved) => {
-                    self.starve(Source::Link(key));
+                Err(IoStatus::Closed | IoStatus::Broken) => return Some(EndpointClose::Broken),
+                Err(IoStatus::Blocked) => return None,
+                Err(IoStatus::Shortage) => {
+                    self.defer_for_shortage(Source::Link(key));
                     return None;
                 }
             }
         }
     }
 
-    /// Asks, as an attempt's first byte would leave, whether it may. What may not is taken back, and its end reported.
-    fn may_begin(&mut self, key: LinkKey, attempt: AttemptKey) -> bool {
+    /// Asks the reducer for permission immediately before the first byte of an attempt is written. Without
+    /// permission, the attempt is withdrawn and reported as ended.
+    fn admit_attempt(&mut self, key: LinkKey, attempt: AttemptKey) -> bool {
         match self.reducer.permit(self.now(), attempt) {
             Ok(permit) => {
                 self.links.begin(key, permit.limit_ms);
@@ -241,7 +249,7 @@
             Err(reason) => {
                 trace_event!(self.now(), "attempt_withheld", attempt, reason = reason.key());
                 if reason.is_violation() {
-                    self.violated(Violation::Begin, format_args!("attempt {attempt}: {reason}"));
+                    self.report_violation(Violation::Begin, format_args!("attempt {attempt}: {reason}"));
                 }
                 self.links.withhold(self.now(), key);
                 self.inbox.push(Input::Ended { attempt, end: End::Withheld(reason) });
@@ -250,12 +258,13 @@
         }
     }
 
-    pub(super) fn link_down(&mut self, key: LinkKey, why: EndpointClose) {
+    /// Closes a connection to a machine, and reports the end of its attempts and probes.
+    pub(super) fn close_link(&mut self, key: LinkKey, why: EndpointClose) {
         let now = self.now();
-        if let Some(sock) = self.link_socks.remove(&key) {
+        if let Some(socket) = self.link_sockets.remove(&key) {
             match why {
-                // Its peer is well, and may have begun to say something: it isn't reset under that.
-                EndpointClose::Idle => self.linger(Source::Link(key), sock),
+                // The peer is healthy and may be sending already; closing at once would reset the connection.
+                EndpointClose::Idle => self.linger(Source::Link(key), socket),
                 EndpointClose::PeerClosed
                 | EndpointClose::Broken
                 | EndpointClose::Unreadable
@@ -266,7 +275,7 @@
                 | EndpointClose::NoRoom
                 | EndpointClose::WrongName
                 | EndpointClose::Restarted
-                | EndpointClose::Panic => self.drop_sock(&sock),
+                | EndpointClose::Panic => self.close_socket(&socket),
             }
         }
         self.reducer.counters.reasons.endpoint_closes.add(why);
@@ -276,7 +285,7 @@
             self.reducer.counters.dials_failed += 1;
             log_line!({ machine, address = %endpoint, outcome = %why } "no connection to {endpoint}: {why}");
         }
-        let blame = match why {
+        let failure = match why {
             EndpointClose::PeerClosed | EndpointClose::Broken | EndpointClose::Stalled => {
                 Some(Failure::Broken)
             }
@@ -290,29 +299,29 @@
             | EndpointClose::Restarted
             | EndpointClose::Panic => None,
         };
-        // A close at rest is how idle connections end.
-        let rested = self.links.rested(key) && why == EndpointClose::PeerClosed;
-        let ended = self.links.down(now, key, blame.filter(|_| !rested));
+        // Closing an idle connection is normal and not a failure of the endpoint.
+        let idle_close = self.links.rested(key) && why == EndpointClose::PeerClosed;
+        let ended = self.links.down(now, key, failure.filter(|_| !idle_close));
         let (reason, lost) = (why.key(), ended.lost.len());
         trace_event!(now, "endpoint_closed", link = key, endpoint = machine, reason, lost);
         ended.dials.iter().for_each(|number| self.close_dial(*number));
-        ended.left.iter().for_each(say_left);
+        ended.left.iter().for_each(log_avoided_endpoint);
         if let Some(endpoint) = endpoint.filter(|_| !ended.lost.is_empty()) {
             let attempts = ended.lost.len();
             log_line!({ machine, address = %endpoint, attempts, outcome = %why }
-                "connection to {endpoint} lost with {attempts} attempts: {why}");
+                "connection to {endpoint} lost with {attempts} attempts outstanding: {why}");
         }
         for (attempt, progress) in ended.lost {
             let end = if why == EndpointClose::NoRoom { End::NoRoom } else { End::Lost(progress) };
             self.inbox.push(Input::Ended { attempt, end });
         }
         ended.probes.into_iter().for_each(|member| self.probe_failed(member));
-        ended.moved.into_iter().for_each(|to| self.queued(to));
+        ended.moved.into_iter().for_each(|to| self.schedule_write(to));
     }
 }
 
-fn say_left(left: &Leave) {
-    let Leave { member, endpoint, why, pause_ms } = left;
+fn log_avoided_endpoint(avoided: &Leave) {
+    let Leave { member, endpoint, why, pause_ms } = avoided;
     log_line!({ machine = %member, address = %endpoint, outcome = %why }
-        "{member} is not reached over {endpoint} for {pause_ms:.0} ms: {why}");
+        "not using {endpoint} for {member} for {pause_ms:.0} ms: {why}");
 }
--- a/src/runtime/mod.rs
+++ b/src/runtime/mod.rs
@@ -1,4 +1,5 @@
-//! The event loop: sockets, clocks and signals. It turns what they bring into inputs, and carries out effects.
+//! The event loop: sockets, timers and signals. It converts events to inputs of the reducer and executes its
+//! effects.
 
 mod board;
 mod clients;
@@ -29,7 +30,7 @@
 use calloop::signals::{Signal, Signals};
 use calloop::{EventLoop, Interest, LoopHandle, Readiness, RegistrationToken};
 pub use plugins::read_program;
-use socket::{io_error, listen, register, Sock};
+use socket::{io_error, listen, register, PolledSocket};
 use socket2::Socket;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::io;
@@ -39,47 +40,53 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// Part of the memory limit that requests which are still coming in may take.
-const COMING_IN: f64 = 0.1;
-/// Time between looks for client connections whose client is silent or gone.
-const SWEEP_MS: Millis = 250.0;
-/// How long a start goes on trying where this machine lacks something.
-const START_PATIENCE: Duration = Duration::from_secs(3);
-/// The pause before a call is made again for which this machine lacked something.
+/// Share of the memory limit that incomplete requests may use.
+const INCOMING_MEMORY_SHARE: f64 = 0.1;
+/// Interval between checks for client connections that are idle or stalled.
+const SWEEP_INTERVAL_MS: Millis = 250.0;
+/// How long the startup retries operations that fail for a lack of resources.
+const START_RETRY_TIMEOUT: Duration = Duration::from_secs(3);
+/// Pause before retrying an operation that failed for a lack of resources.
 const SHORTAGE_PAUSE: Duration = Duration::from_millis(5);
-/// The pause before files are read again on a SIGHUP that found them in trouble.
-const RELOAD_AGAIN_MS: Millis = 100.0;
-/// Longest sleep of the loop.
-const IDLE_MS: Millis = SWEEP_MS;
+/// Pause before reloading the configuration again after a reload failed with a temporary error.
+const RELOAD_RETRY_MS: Millis = 100.0;
+/// Longest wait of the event loop.
+const MAX_SLEEP_MS: Millis = SWEEP_INTERVAL_MS;
 
-/// What a readiness is of, in the order in which one wake's are served.
+/// A source of readiness events, in the order in which the sources of one wake-up are served.
 ///
-/// What narrows comes before what acts: a drain or a purge, then which clients have left, then how attempts have ended.
-/// So nothing that one wake brings together is sent on, tried again or dialled for a client that has left.
+/// Events that restrict later work come first: drains and purges, then clients that have left, then the
+/// results of attempts. So nothing is forwarded, retried or dialled for a client whose departure arrived in
+/// the same wake-up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Source {
+    /// The connection to the discovery service.
     Board,
-    /// Operators are answered however busy it is.
+    /// A connection of an operator: served before clients, so that operators are answered under load.
     Caller(u64),
+    /// The listeners for operators.
     Callers,
+    /// A client connection.
     Front(u64),
-    /// A machine's connection: read before it is written to, so that one that has closed is known before it is used.
+    /// A connection to a machine: read before it is written, so that a close is detected before the
+    /// connection is used.
     Link(LinkKey),
-    /// A dial that isn't a connection yet.
+    /// A dial in progress.
     Dial(DialKey),
+    /// The listener for clients.
     Listener,
-    /// Last: a flood there holds up no request.
+    /// The fleet's socket: last, so that a flood of datagrams delays no request.
     Fleet,
 }
 
-/// Inputs that wait for the reducer.
+/// The queue of inputs for the reducer.
 #[derive(Debug, Default)]
 pub struct Inbox(VecDeque<Input>);
 
 impl Inbox {
-    /// Adds an input. How far an attempt has come goes before all else that waits: one that is given up by
-    /// another input must not pass for unsent when it has left. And whoever has left takes back what waits of theirs,
-    /// which nobody has seen yet: it is not taken, so that nothing is sent or dialled for it.
+    /// Adds an input. The progress of an attempt goes to the front: otherwise an attempt cancelled by a
+    /// queued input could be taken for unsent although it was sent. A client's close or abort removes the
+    /// client's queued requests, which the reducer has not seen, so that nothing is sent or dialled for them.
     pub fn push(&mut self, input: Input) {
         match input {
             Input::Progressed { .. } => return self.0.push_front(input),
@@ -88,8 +95,8 @@
                     !matches!(other, Input::Asked { client, .. } | Input::Health { client } if client.conn == conn)
                 });
             }
-            Input::Aborted { client: gone } => {
-                let same = |other: &Input| matches!(other, Input::Asked { client, .. } if *client == gone);
+            Input::Aborted { client: aborted } => {
+                let same = |other: &Input| matches!(other, Input::Asked { client, .. } if *client == aborted);
                 if let Some(at) = self.0.iter().position(same) {
                     self.0.remove(at);
                     return;
@@ -100,7 +107,7 @@
         self.0.push_back(input);
     }
 
-    /// Takes the next one.
+    /// Removes and returns the next input.
     pub fn pop(&mut self) -> Option<Input> {
         self.0.pop_front()
     }
@@ -112,105 +119,118 @@
     }
 }
 
+/// The state of the event loop. Times are in milliseconds of the monotonic clock, see [`Runtime::now`].
 struct Runtime {
     handle: LoopHandle<'static, Runtime>,
     start: Instant,
     reducer: Reducer,
     inbox: Inbox,
+    /// Readiness events that are not handled yet.
     ready: BTreeMap<Source, Readiness>,
+    /// Signals that are not handled yet.
     signals: Vec<Signal>,
     listener: Option<(Rc<TcpListener>, RegistrationToken)>,
-    accept_from: Option<Millis>,
-    /// It is to be closed, once nobody waits in its queue.
-    stops_listening: bool,
-    sweep_at: Millis,
-    fronts: BTreeMap<u64, (Sock, Conn)>,
-    next_front: u64,
-    /// Connections of both sides that are closed from here, until their peers close too.
+    /// When accepting resumes after a pause.
+    resume_accept_at: Option<Millis>,
+    /// The listener is to be closed as soon as its queue is empty.
+    closing_listener: bool,
+    next_sweep_at: Millis,
+    clients: BTreeMap<u64, (PolledSocket, Conn)>,
+    /// The key of the newest client connection.
+    last_client: u64,
+    /// Connections to clients and machines that are in a lingering close.
     lingering: BTreeMap<Source, lingering::Lingering>,
-    /// File descriptors that may be held.
-    sockets: usize,
+    /// Limit of open descriptors.
+    max_sockets: usize,
     links: Links,
-    link_socks: BTreeMap<LinkKey, Sock>,
-    /// Dials that are open, for which connection and where to.
-    dials: BTreeMap<DialKey, (LinkKey, Endpoint, Sock)>,
-    /// Bytes of requests that are still coming in, and the most there may be.
-    coming: usize,
-    most_coming: usize,
-    /// What is read again on SIGHUP.
+    link_sockets: BTreeMap<LinkKey, PolledSocket>,
+    /// Dials in progress, with the connection they are for and their endpoint.
+    dials: BTreeMap<DialKey, (LinkKey, Endpoint, PolledSocket)>,
+    /// Bytes of incomplete requests.
+    incoming_bytes: usize,
+    max_incoming_bytes: usize,
+    /// The files that SIGHUP reloads.
     sources: Sources,
-    /// Where the config has it listen.
-    listens: SocketAddr,
-    board_at: SocketAddr,
-    board: Option<(Sock, Vec<u8>)>,
-    watch: DiscoveryWatch,
-    /// Sockets for which this machine lacked something, and when they are tried again.
-    starved: BTreeSet<Source>,
-    starved_until: Option<Millis>,
-    /// When files are read again that a SIGHUP found in trouble.
-    reload_at: Option<Millis>,
-    /// Connections with something to write or, after their turn, to read.
-    dirty: BTreeSet<Source>,
+    /// The configured listen address.
+    listen_address: SocketAddr,
+    discovery_address: SocketAddr,
+    /// The connection to the discovery service, with the bytes of a poll still to be written.
+    discovery: Option<(PolledSocket, Vec<u8>)>,
+    discovery_watch: DiscoveryWatch,
+    /// Sockets whose operation failed for a lack of resources, to be retried at `shortage_retry_at`.
+    shortage_sources: BTreeSet<Source>,
+    shortage_retry_at: Option<Millis>,
+    /// When a reload that failed with a temporary error is retried.
+    retry_reload_at: Option<Millis>,
+    /// Sockets to serve in the next cycle without waiting for a readiness event: they have output, or input
+    /// left by a bounded read.
+    runnable: BTreeSet<Source>,
+    /// When the process exits at the latest.
     exit_by: Option<Millis>,
-    /// When the state of an evacuation is told next; none: there is none, or all clients have left.
-    drain_told_at: Option<Millis>,
+    /// When the progress of a drain is logged next; `None` without a drain, or when all clients have left.
+    next_drain_log_at: Option<Millis>,
+    /// The read buffer shared by all sockets.
     buffer: Vec<u8>,
-    /// Loads of plug-ins so far, and where their threads tell of themselves; none while there are no plug-ins.
-    plugin_turn: u64,
-    plugin_ready: Option<calloop::channel::Sender<plugins::Ready>>,
-    /// Where the latest views are written when they are asked for.
-    record: Option<PathBuf>,
-    /// Where operators call, and who is calling.
-    ops_places: Vec<operators::Called>,
+    /// The number of the latest load of plug-ins.
+    plugin_load: u64,
+    /// The channel for results of loading threads; `None` until plug-ins are configured.
+    plugin_results: Option<calloop::channel::Sender<plugins::LoadResult>>,
+    /// Where the latest views are written on SIGUSR1.
+    view_record_path: Option<PathBuf>,
+    operator_listeners: Vec<operators::OperatorListener>,
+    /// Connections of operators.
     callers: BTreeMap<u64, operators::Caller>,
-    next_caller: u64,
-    /// The file for the next process, where operators can call.
+    /// The key of the newest operator connection.
+    last_caller: u64,
+    /// The state shared with other processes of this router; `None` without a listener for operators.
     handover: Option<handover::Handover>,
-    /// This router's seat among the others, where the operator's file names them.
-    seat: Option<fleet::Seat>,
+    /// The membership in the fleet, if the operator's file configures one.
+    fleet_member: Option<fleet::Member>,
 }
 
-/// Serves until it is told to end.
+/// Serves until the process is asked to terminate. Returns an error if the startup fails.
 pub fn run(sources: Sources) -> Result<(), String> {
     let io = |what: &str| {
         let what = what.to_owned();
         move |e: io::Error| format!("{what}: {e}")
     };
     let mut events: EventLoop<'static, Runtime> =
-        patiently(|| EventLoop::try_new().map_err(io_error)).map_err(io("event loop"))?;
+        retry_transient(|| EventLoop::try_new().map_err(io_error)).map_err(io("event loop"))?;
     let handle = events.handle();
     let all = [Signal::SIGTERM, Signal::SIGINT, Signal::SIGUSR1, Signal::SIGHUP];
-    let signals = patiently(|| Signals::new(&all).map_err(io_error)).map_err(io("signals"))?;
-    let noted =
+    let signals = retry_transient(|| Signals::new(&all).map_err(io_error)).map_err(io("signals"))?;
+    let record =
         |event: calloop::signals::Event, (): &mut (), state: &mut Runtime| state.signals.push(event.signal());
-    insert_patiently(&handle, signals, noted).map_err(io("signals"))?;
-    // Signals wait from here on: one that comes while the config is read ends nothing halfway.
-    let (config, operator) = load_patiently(&sources)?;
+    insert_signals_with_retry(&handle, signals, record).map_err(io("signals"))?;
+    // Signals are blocked from here on, so that one received during the startup does not interrupt it.
+    let (config, operator) = load_with_retry(&sources)?;
     std::panic::set_hook(Box::new(|panic| log_line!("{panic}")));
     let start = Instant::now();
     let reducer = Reducer::new(config.settings, config.net.clone(), config.seed, 0.0, UnixTime::now());
-    let listener = patiently(|| listen(config.listen)).map_err(io("listen"))?;
+    let listener = retry_transient(|| listen(config.listen)).map_err(io("listen"))?;
     let listener = Rc::new(listener);
-    let listens = listener.local_addr().map_err(io("listen"))?;
-    let token = patiently(|| register(&handle, listener.clone(), Source::Listener, Interest::READ));
+    let local_address = listener.local_addr().map_err(io("listen"))?;
+    let token = retry_transient(|| register(&handle, listener.clone(), Source::Listener, Interest::READ));
     let token = token.map_err(io("listen"))?;
     let places = config.ops.map(Place::Tcp).into_iter().chain(operator.ops_socket.map(Place::Unix));
-    let mut ops_places = Vec::new();
+    let mut operator_listeners = Vec::new();
     for place in places {
-        let named = format!("listen for operators at {place}");
-        let called = patiently(|| operators::Called::listen(&handle, place.clone()));
-        ops_places.push(called.map_err(io(&named))?);
+        let action = format!("listen for operators at {place}");
+        let listener = retry_transient(|| operators::OperatorListener::listen(&handle, place.clone()));
+        operator_listeners.push(listener.map_err(io(&action))?);
     }
-    let called = !ops_places.is_empty();
-    let seat =
-        operator.fleet.map(|set| fleet::Seat::take(&handle, set, &config.name, config.seed)).transpose()?;
+    let has_operators = !operator_listeners.is_empty();
+    let fleet_member = operator
+        .fleet
+        .map(|settings| fleet::Member::join(&handle, settings, &config.name, config.seed))
+        .transpose()?;
     let net = &config.net;
-    let most = reducer.most_links();
+    let max_links = reducer.most_links();
     let links = Links::with_rules(
         net.dial_timeout_ms,
         net.idle_ms,
         net.streams,
-        most,
+        max_links,
         operator.addresses,
         config.seed,
     );
@@ -222,145 +242,151 @@
         ready: BTreeMap::new(),
         signals: Vec::new(),
         listener: Some((listener, token)),
-        accept_from: None,
-        stops_listening: false,
-        sweep_at: SWEEP_MS,
-        fronts: BTreeMap::new(),
-        next_front: 0,
+        resume_accept_at: None,
+        closing_listener: false,
+        next_sweep_at: SWEEP_INTERVAL_MS,
+        clients: BTreeMap::new(),
+        last_client: 0,
         lingering: BTreeMap::new(),
-        sockets: config.net.sockets,
+        max_sockets: config.net.sockets,
         links,
-        link_socks: BTreeMap::new(),
+        link_sockets: BTreeMap::new(),
         dials: BTreeMap::new(),
-        coming: 0,
-        most_coming: (config.net.memory as f64 * COMING_IN) as usize,
+        incoming_bytes: 0,
+        max_incoming_bytes: (config.net.memory as f64 * INCOMING_MEMORY_SHARE) as usize,
         sources,
-        listens: config.listen,
-        board_at: config.board,
-        board: None,
-        watch: DiscoveryWatch::new(config.rev, config.seed),
-        starved: BTreeSet::new(),
-        starved_until: None,
-        reload_at: None,
-        dirty: BTreeSet::new(),
+        listen_address: config.listen,
+        discovery_address: config.board,
+        discovery: None,
+        discovery_watch: DiscoveryWatch::new(config.rev, config.seed),
+        shortage_sources: BTreeSet::new(),
+        shortage_retry_at: None,
+        retry_reload_at: None,
+        runnable: BTreeSet::new(),
         exit_by: None,
-        drain_told_at: None,
+        next_drain_log_at: None,
         buffer: vec![0; 64 * 1024],
-        plugin_turn: 0,
-        plugin_ready: None,
-        record: None,
-        ops_places,
+        plugin_load: 0,
+        plugin_results: None,
+        view_record_path: None,
+        operator_listeners,
         callers: BTreeMap::new(),
-        next_caller: 0,
-        handover: called.then(|| handover::Handover::new(&listens.to_string(), config.seed)),
-        seat,
+        last_caller: 0,
+        handover: has_operators.then(|| handover::Handover::new(&local_address.to_string(), config.seed)),
+        fleet_member,
     };
     let unix = UnixTime::now();
     state.inbox.extend(config.known.into_iter().map(|notice| Input::Notice { notice, unix }));
-    state.record = operator.record;
+    state.view_record_path = operator.record;
     state.load_plugins(operator.plugins);
-    state.take_state();
-    state.work();
-    state.say_ops();
+    state.sync_state();
+    state.process_inputs();
+    state.log_operator_listeners();
     for remark in &config.remarks {
         log_line!(always; "settings: {remark}");
     }
-    log_line!("{} listens on {}, the board is at {}", config.name, listens, config.board);
-    while !state.over() {
-        let wait = Duration::from_secs_f64((state.wake() - state.now()).clamp(0.0, IDLE_MS) / 1000.0);
+    log_line!("{} listens on {}, discovery service at {}", config.name, local_address, config.board);
+    while !state.is_finished() {
+        let wait =
+            Duration::from_secs_f64((state.next_wakeup() - state.now()).clamp(0.0, MAX_SLEEP_MS) / 1000.0);
         if let Err(e) = events.dispatch(Some(wait), &mut state) {
             log_line!("event loop: {e}");
-            std::thread::sleep(SHORTAGE_PAUSE); // What is due is done all the same, but not in a rush.
+            std::thread::sleep(SHORTAGE_PAUSE); // Timers still run, without a busy loop.
         }
-        state.turn();
+        state.run_cycle();
     }
-    state.leave_seat(true);
-    state.close_rest();
-    state.leave_state();
+    state.leave_fleet(true);
+    state.close_remaining_clients();
+    state.release_state();
     log_line!(always; "{} ends; {}", config.name, state.reducer.counters);
-    // Its signals stay blocked until the process has ended: the loop would unblock them as it is dropped, and one that
-    // is pending then would end the process by its default action, as if it had crashed.
+    // Dropping the event loop would unblock the signals, and the default action of a pending one would kill
+    // the process as if it had crashed. Leaking the loop keeps them blocked until the process exits.
     std::mem::forget(events);
     Ok(())
 }
 
-/// Makes a call at the start again and again while it fails in a way that may pass.
-fn patiently<T>(mut call: impl FnMut() -> io::Result<T>) -> io::Result<T> {
-    let until = Instant::now() + START_PATIENCE;
+/// Retries a call during the startup while it fails with a temporary error, for up to
+/// [`START_RETRY_TIMEOUT`].
+fn retry_transient<T>(mut call: impl FnMut() -> io::Result<T>) -> io::Result<T> {
+    let deadline = Instant::now() + START_RETRY_TIMEOUT;
     loop {
         match call() {
-            Err(e) if errno::may_pass(&e) && Instant::now() < until => std::thread::sleep(SHORTAGE_PAUSE),
-            done => return done,
+            Err(e) if errno::may_pass(&e) && Instant::now() < deadline => std::thread::sleep(SHORTAGE_PAUSE),
+            result => return result,
         }
     }
 }
 
-/// Has the loop watch for signals, trying again while it has no room in a way that may pass.
-fn insert_patiently(
+/// Registers signals with the event loop, retrying as [`retry_transient`] does.
+fn insert_signals_with_retry(
     handle: &LoopHandle<'static, Runtime>,
     mut signals: Signals,
-    noted: fn(calloop::signals::Event, &mut (), &mut Runtime),
+    record: fn(calloop::signals::Event, &mut (), &mut Runtime),
 ) -> io::Result<()> {
-    let until = Instant::now() + START_PATIENCE;
+    let deadline = Instant::now() + START_RETRY_TIMEOUT;
     loop {
-        let Err(refused) = handle.insert_source(signals, noted) else { return Ok(()) };
-        let error = io_error(refused.error);
-        if !errno::may_pass(&error) || Instant::now() >= until {
+        let Err(failed) = handle.insert_source(signals, record) else { return Ok(()) };
+        let error = io_error(failed.error);
+        if !errno::may_pass(&error) || Instant::now() >= deadline {
             return Err(error);
         }
-        signals = refused.inserted;
+        signals = failed.inserted;
         std::thread::sleep(SHORTAGE_PAUSE);
     }
 }
 
-/// Reads the config and the operator's file at the start.
-fn load_patiently(sources: &Sources) -> Result<(Config, Operator), String> {
-    let until = Instant::now() + START_PATIENCE;
+/// Reads the configuration and the operator's file at startup, retrying temporary errors.
+fn load_with_retry(sources: &Sources) -> Result<(Config, Operator), String> {
+    let deadline = Instant::now() + START_RETRY_TIMEOUT;
     loop {
         match sources.load() {
-            Err(fault) if fault.may_pass && Instant::now() < until => std::thread::sleep(SHORTAGE_PAUSE),
-            read => return read.map_err(|fault| fault.words),
+            Err(fault) if fault.may_pass && Instant::now() < deadline => std::thread::sleep(SHORTAGE_PAUSE),
+            result => return result.map_err(|fault| fault.words),
         }
     }
 }
 
 impl Runtime {
-    /// The monotonic clock, for the module and all timers.
+    /// Returns the time since the start on the monotonic clock, in milliseconds; used by the reducer and all
+    /// timers.
     fn now(&self) -> Millis {
         self.start.elapsed().as_secs_f64() * 1000.0
     }
 
-    /// When the loop is to wake up at the latest.
-    fn wake(&self) -> Millis {
-        if !self.dirty.is_empty() {
+    /// Returns when the event loop must wake up at the latest.
+    fn next_wakeup(&self) -> Millis {
+        if !self.runnable.is_empty() {
             return 0.0;
         }
-        let board = Some(self.watch.due);
-        let seat = self.seat.as_ref().and_then(fleet::Seat::due_in).map(|wait| self.now() + wait);
-        let (links, lingering) = (self.links.next_due(), self.lingering_due());
-        let handover = self.handover.as_ref().map(|handover| self.now() + handover.due_in());
+        let discovery = Some(self.discovery_watch.due);
+        let fleet =
+            self.fleet_member.as_ref().and_then(fleet::Member::ms_until_due).map(|wait| self.now() + wait);
+        let (links, lingering) = (self.links.next_due(), self.next_linger_deadline());
+        let handover = self.handover.as_ref().map(|handover| self.now() + handover.ms_until_due());
         let intake = self.reducer.service().next_intake(self.now());
-        let own = [
+        let others = [
             intake,
-            self.drain_due(),
+            self.next_drain_check(),
             handover,
-            self.accept_from,
+            self.resume_accept_at,
             self.exit_by,
-            self.starved_until,
-            self.reload_at,
+            self.shortage_retry_at,
+            self.retry_reload_at,
         ];
-        let dues = [self.reducer.next_due(), links, board, seat, lingering].into_iter().chain(own);
-        dues.flatten().fold(f64::INFINITY, f64::min)
+        let deadlines =
+            [self.reducer.next_due(), links, discovery, fleet, lingering].into_iter().chain(others);
+        deadlines.flatten().fold(f64::INFINITY, f64::min)
     }
 
-    /// One round: what is ready, then what is due.
-    fn turn(&mut self) {
+    /// Runs one cycle of the event loop: handles signals and ready sockets, then timers.
+    fn run_cycle(&mut self) {
         for signal in std::mem::take(&mut self.signals) {
             match signal {
                 Signal::SIGUSR1 => {
-                    let (clients, links) = (self.fronts.len(), self.links.count());
+                    let (clients, links) = (self.clients.len(), self.links.count());
                     let (requests, machines) = (self.reducer.open(), self.reducer.known_machines());
-                    log_line!(always; "now clients={clients} links={links} requests={requests} machines={machines}");
+                    log_line!(always;
+                        "now clients={clients} links={links} requests={requests} machines={machines}");
                     log_line!(always; "{}", self.reducer.counters);
                     for (name, counts) in self.reducer.plugins().into_iter().flat_map(|all| all.counts()) {
                         log_line!(always; "plug-in {name}: {counts:?}");
@@ -369,120 +395,123 @@
                 }
                 Signal::SIGHUP => self.reload(),
                 _ => {
-                    log_line!("told to end; {} requests are open", self.reducer.open());
+                    log_line!("shutting down; {} requests are open", self.reducer.open());
                     self.inbox.push(Input::Terminate);
                 }
             }
         }
         for (source, readiness) in std::mem::take(&mut self.ready) {
-            if let Some(sock) = self.sock(source) {
-                sock.readable |= readiness.readable || readiness.error;
-                sock.writable |= readiness.writable || readiness.error;
+            if let Some(socket) = self.socket_of(source) {
+                socket.readable |= readiness.readable || readiness.error;
+                socket.writable |= readiness.writable || readiness.error;
             }
-            self.dirty.insert(source);
+            self.runnable.insert(source);
         }
         let now = self.now();
-        if self.accept_from.is_some_and(|at| at <= now) {
-            self.accept_from = None;
-            self.dirty.insert(Source::Listener);
+        if self.resume_accept_at.is_some_and(|at| at <= now) {
+            self.resume_accept_at = None;
+            self.runnable.insert(Source::Listener);
         }
-        if self.reload_at.is_some_and(|at| at <= now) {
+        if self.retry_reload_at.is_some_and(|at| at <= now) {
             self.reload();
         }
-        if self.starved_until.is_some_and(|at| at <= now) {
-            self.feed_starved();
+        if self.shortage_retry_at.is_some_and(|at| at <= now) {
+            self.resume_after_shortage();
         }
-        for source in std::mem::take(&mut self.dirty) {
+        for source in std::mem::take(&mut self.runnable) {
             self.serve(source);
         }
-        self.fleet_due();
-        self.links_due();
-        self.end_lingering(now);
-        if self.sweep_at <= now {
-            self.sweep_at = now + SWEEP_MS;
+        self.run_fleet_timers();
+        self.run_link_timers();
+        self.expire_lingering(now);
+        if self.next_sweep_at <= now {
+            self.next_sweep_at = now + SWEEP_INTERVAL_MS;
             self.sweep(now);
             self.sweep_callers(now);
-            self.tell_drain(now);
-            self.take_state();
+            self.log_drain_progress(now);
+            self.sync_state();
             self.inbox.push(Input::ClocksRead { unix: UnixTime::now() });
         }
-        if self.watch.due <= self.now() {
-            self.poll_board();
+        if self.discovery_watch.due <= self.now() {
+            self.poll_discovery();
         }
         if self.reducer.next_due().is_some_and(|at| at <= self.now()) {
             self.inbox.push(Input::Due);
         }
-        self.work();
-        if self.handover.as_ref().is_some_and(|handover| handover.due_in() <= 0.0) {
-            self.take_state();
-            self.work();
+        self.process_inputs();
+        if self.handover.as_ref().is_some_and(|handover| handover.ms_until_due() <= 0.0) {
+            self.sync_state();
+            self.process_inputs();
         }
         self.drain_clients();
     }
 
-    /// The socket of a source, if it has one of its own.
-    fn sock(&mut self, source: Source) -> Option<&mut Sock> {
+    /// Returns the socket of a source, if it has one.
+    fn socket_of(&mut self, source: Source) -> Option<&mut PolledSocket> {
         match source {
             _ if self.lingering.contains_key(&source) => {
-                self.lingering.get_mut(&source).map(|one| &mut one.sock)
+                self.lingering.get_mut(&source).map(|lingering| &mut lingering.socket)
             }
-            Source::Link(key) => self.link_socks.get_mut(&key),
-            Source::Dial(key) => self.dials.get_mut(&key).map(|(.., sock)| sock),
-            Source::Front(key) => self.fronts.get_mut(&key).map(|(sock, _)| sock),
-            Source::Board => self.board.as_mut().map(|(sock, _)| sock),
-            Source::Caller(key) => self.caller_sock(key),
+            Source::Link(key) => self.link_sockets.get_mut(&key),
+            Source::Dial(key) => self.dials.get_mut(&key).map(|(.., socket)| socket),
+            Source::Front(key) => self.clients.get_mut(&key).map(|(socket, _)| socket),
+            Source::Board => self.discovery.as_mut().map(|(socket, _)| socket),
+            Source::Caller(key) => self.caller_socket(key),
             Source::Listener | Source::Callers | Source::Fleet => None,
         }
     }
 
-    /// Has the loop watch a socket. Where it has no room, the socket is looked at again and again until it has.
-    fn watch(&mut self, stream: Rc<Socket>, source: Source, ready: bool) -> Sock {
+    /// Registers a socket with the event loop. If that fails, registration is retried until it succeeds.
+    fn register_socket(&mut self, stream: Rc<Socket>, source: Source, ready: bool) -> PolledSocket {
         let token = register(&self.handle, stream.clone(), source, Interest::BOTH);
         if let Err(e) = &token {
-            log_line!("the event loop has no room for a connection yet: {e}");
-            self.starve(source);
+            log_line!("cannot register a connection with the event loop, will retry: {e}");
+            self.defer_for_shortage(source);
         }
-        Sock { stream, token: token.ok(), readable: ready, writable: ready }
+        PolledSocket { stream, token: token.ok(), readable: ready, writable: ready }
     }
 
-    /// Closes a socket, once nobody else holds it.
-    fn drop_sock(&mut self, sock: &Sock) {
-        if let Some(token) = sock.token {
+    /// Unregisters a socket, which is closed when its last reference is dropped.
+    fn close_socket(&mut self, socket: &PolledSocket) {
+        if let Some(token) = socket.token {
             self.handle.remove(token);
         }
     }
 
-    /// This machine lacks something for a socket: it is served again after a short pause, as no readiness will tell.
-    fn starve(&mut self, source: Source) {
+    /// Schedules serving a source again after a short pause, because an operation failed for a lack of
+    /// resources and no readiness event will follow.
+    fn defer_for_shortage(&mut self, source: Source) {
         self.reducer.counters.shortages += 1;
-        self.starved.insert(source);
-        let until = self.now() + SHORTAGE_PAUSE.as_secs_f64() * 1000.0;
-        self.starved_until.get_or_insert(until);
+        self.shortage_sources.insert(source);
+        let retry_at = self.now() + SHORTAGE_PAUSE.as_secs_f64() * 1000.0;
+        self.shortage_retry_at.get_or_insert(retry_at);
     }
 
-    /// Serves what had to wait for want of something again.
-    fn feed_starved(&mut self) {
-        self.starved_until = None;
-        for source in std::mem::take(&mut self.starved) {
-            self.dirty.insert(source);
+    /// Retries the operations that failed for a lack of resources.
+    fn resume_after_shortage(&mut self) {
+        self.shortage_retry_at = None;
+        for source in std::mem::take(&mut self.shortage_sources) {
+            self.runnable.insert(source);
             let handle = self.handle.clone();
-            let Some(sock) = self.sock(source).filter(|sock| sock.token.is_none()) else { continue };
-            (sock.readable, sock.writable) = (true, true);
-            sock.token = register(&handle, sock.stream.clone(), source, Interest::BOTH).ok();
-            if sock.token.is_none() {
-                self.starve(source);
+            let Some(socket) = self.socket_of(source).filter(|socket| socket.token.is_none()) else {
+                continue;
+            };
+            (socket.readable, socket.writable) = (true, true);
+            socket.token = register(&handle, socket.stream.clone(), source, Interest::BOTH).ok();
+            if socket.token.is_none() {
+                self.defer_for_shortage(source);
             }
         }
     }
 
-    /// Serves one connection. A panic stops there: the connection ends, the rest goes on.
+    /// Serves one source. A panic closes that connection and leaves the others unaffected.
     fn serve(&mut self, source: Source) {
         let served = catch_unwind(AssertUnwindSafe(|| match source {
-            lingers if self.serve_lingering(lingers) => {}
+            lingering if self.serve_lingering(lingering) => {}
             Source::Link(key) => self.serve_link(key),
             Source::Dial(key) => self.serve_dial(key),
-            Source::Front(key) => self.serve_front(key),
-            Source::Board => self.serve_board(),
+            Source::Front(key) => self.serve_client(key),
+            Source::Board => self.serve_discovery(),
             Source::Listener => drop(self.accept()),
             Source::Caller(key) => self.serve_caller(key),
             Source::Callers => self.accept_callers(),
@@ -492,60 +521,61 @@
             self.reducer.counters.panics += 1;
             log_line!("a panic ends {source:?}");
             match source {
-                Source::Link(key) => self.link_down(key, EndpointClose::Panic),
+                Source::Link(key) => self.close_link(key, EndpointClose::Panic),
                 Source::Dial(key) => self.close_dial(key),
-                Source::Front(key) => self.end_front(key, ClientClose::Panic),
-                Source::Board => self.board_failed("panic"),
+                Source::Front(key) => self.flush_and_close_client(key, ClientClose::Panic),
+                Source::Board => self.discovery_failed("panic"),
                 Source::Caller(key) => self.close_caller(key),
                 Source::Listener | Source::Callers | Source::Fleet => {}
             }
         }
-        self.work();
+        self.process_inputs();
     }
 
-    /// Gives the reducer its inputs and carries out its effects until nothing is left.
-    fn work(&mut self) {
+    /// Passes queued inputs to the reducer and executes its effects, until the queue is empty.
+    fn process_inputs(&mut self) {
         while let Some(input) = self.inbox.pop() {
-            self.step(input);
+            self.handle_input(input);
         }
     }
 
-    fn step(&mut self, input: Input) {
+    fn handle_input(&mut self, input: Input) {
         let now = self.now();
         events::input(now, &input);
         let before = self.reducer.service();
         let step = catch_unwind(AssertUnwindSafe(|| self.reducer.step(now, input)));
         let Ok(effects) = step else {
-            // The guard timers still answer whatever this leaves open.
+            // Requests left open by the panic are still answered by the reducer's deadline timers.
             self.reducer.counters.panics += 1;
             return log_line!("a panic ends the handling of one input");
         };
-        self.tell_service(before);
-        effects.into_iter().for_each(|effect| self.carry_out(now, effect));
+        self.log_service_change(before);
+        effects.into_iter().for_each(|effect| self.execute(now, effect));
     }
 
-    fn carry_out(&mut self, now: Millis, effect: Effect) {
+    fn execute(&mut self, now: Millis, effect: Effect) {
         events::effect(now, &effect);
         match effect {
             Effect::Answer { client, reply } => {
-                if let Some((_, conn)) = self.fronts.get_mut(&client.conn) {
-                    let owed = conn.answer(client.serial, &reply);
-                    self.dirty.insert(Source::Front(client.conn));
-                    // Taken back by its client in the same turn, it never leaves, and isn't on its way.
-                    let unowed = if owed { None } else { Some(reply) };
-                    if let Some(Reply::Served(body)) = unowed {
+                if let Some((_, conn)) = self.clients.get_mut(&client.conn) {
+                    let queued = conn.answer(client.serial, &reply);
+                    self.runnable.insert(Source::Front(client.conn));
+                    // The client aborted the request in the same cycle: the answer is not sent, so its memory
+                    // counts as flushed.
+                    let discarded = if queued { None } else { Some(reply) };
+                    if let Some(Reply::Served(body)) = discarded {
                         self.inbox.push(Input::Flushed { conn: client.conn, bytes: body.len() });
                     }
                 }
             }
-            Effect::Send { attempt, member, call } => self.send(attempt, &member, &call),
+            Effect::Send { attempt, member, call } => self.send_attempt(attempt, &member, &call),
             Effect::Stop { attempt } => {
                 if let Some(key) = self.links.stop(now, attempt) {
-                    self.dirty.insert(Source::Link(key));
+                    self.runnable.insert(Source::Link(key));
                 }
             }
             Effect::Probe { member } => match self.links.probe(now, &member) {
-                Ok((key, _)) => self.queued(key),
+                Ok((key, _)) => self.schedule_write(key),
                 Err(_) => self.probe_failed(member),
             },
             Effect::Listed { member, listing: Some(listing) } => self.links.list(&member, listing),
@@ -553,13 +583,13 @@
             Effect::Retire { member } => self.links.retire(&member),
             Effect::Reborn { member, at } => {
                 for key in self.links.older(&member, at) {
-                    self.link_down(key, EndpointClose::Restarted);
+                    self.close_link(key, EndpointClose::Restarted);
                 }
             }
             Effect::Change { caller, name, out } => self.change_state(caller, &name, out),
             Effect::Verdict { caller, verdict } => self.answer_caller(caller, ops::answer(Ok(verdict))),
             Effect::Report { caller, mut telemetry } => {
-                telemetry.fleet = self.seat.as_ref().and_then(fleet::Seat::figures);
+                telemetry.fleet = self.fleet_member.as_ref().and_then(fleet::Member::telemetry);
                 self.answer_caller(caller, ops::report(&telemetry));
             }
             Effect::Log(text) => log_line!("{text}"),
@@ -569,41 +599,42 @@
         }
     }
 
-    /// SIGHUP: takes over what can change while serving. A config that is out of form changes nothing; one that can't be
-    /// read just now is read again shortly.
+    /// Reloads the configuration on SIGHUP and applies the parts that can change while serving. An invalid
+    /// configuration changes nothing; after a temporary error, reading is retried shortly.
     fn reload(&mut self) {
-        self.reload_at = None;
+        self.retry_reload_at = None;
         let (config, operator) = match self.sources.load() {
-            Ok(read) => read,
+            Ok(loaded) => loaded,
             Err(fault) if fault.may_pass => {
-                self.reload_at = Some(self.now() + RELOAD_AGAIN_MS);
-                return log_line!("the new config can't be read yet: {}", fault.words);
+                self.retry_reload_at = Some(self.now() + RELOAD_RETRY_MS);
+                return log_line!("cannot read the new configuration, will retry: {}", fault.words);
             }
             Err(fault) => {
                 self.reducer.counters.reloads_refused += 1;
-                return log_line!(always; "the new config is not taken, the old one stays: {}", fault.words);
+                return log_line!(always;
+                    "new configuration rejected, keeping the current one: {}", fault.words);
             }
         };
         self.reducer.counters.reloads += 1;
-        log_line!(always; "config read anew; the board is at {}", config.board);
-        if config.listen != self.listens || config.settings != *self.reducer.settings() {
-            log_line!(always; "a new listen address or new settings take effect at the next start");
+        log_line!(always; "configuration reloaded; discovery service at {}", config.board);
+        if config.listen != self.listen_address || config.settings != *self.reducer.settings() {
+            log_line!(always; "changes of the listen address or the settings take effect after a restart");
         }
-        self.most_coming = (config.net.memory as f64 * COMING_IN) as usize;
-        self.sockets = config.net.sockets;
+        self.max_incoming_bytes = (config.net.memory as f64 * INCOMING_MEMORY_SHARE) as usize;
+        self.max_sockets = config.net.sockets;
         self.reducer.set_net(config.net);
         self.links.set_most(self.reducer.most_links());
         self.links.set_rules(operator.addresses);
-        self.record = operator.record;
+        self.view_record_path = operator.record;
         self.load_plugins(operator.plugins);
-        if operator.fleet.as_ref() != self.seat.as_ref().map(fleet::Seat::settings) {
-            log_line!(always; "a new (fleet …) takes effect at the next start");
+        if operator.fleet.as_ref() != self.fleet_member.as_ref().map(fleet::Member::settings) {
+            log_line!(always; "changes of (fleet …) take effect after a restart");
         }
-        if config.board != self.board_at {
-            // The old board tells nothing more: what it has begun to say is asked for again, at the new one.
-            self.board_at = config.board;
-            self.drop_board();
-            self.watch.moved(self.now());
+        if config.board != self.discovery_address {
+            // A partly received response of the old discovery service is dropped; the new one is asked again.
+            self.discovery_address = config.board;
+            self.close_discovery();
+            self.discovery_watch.moved(self.now());
         }
     }
 }
--- a/src/runtime/operators.rs
+++ b/src/runtime/operators.rs
@@ -1,6 +1,7 @@
-//! Operators' sockets: accepted, read, answered and let go. What a call means is the reducer's.
+//! Sockets of the operators' HTTP interface: accepting, reading, answering and closing. The reducer executes
+//! the calls.
 
-use super::socket::{listen, register, Io, Sock};
+use super::socket::{listen, register, IoStatus, PolledSocket};
 use super::{Runtime, Source};
 use crate::errno::{self, Verdict};
 use crate::log_line;
@@ -14,174 +15,178 @@
 use std::rc::Rc;
 use std::{fs, io};
 
-/// One caller.
+/// A connection of an operator.
 pub(super) struct Caller {
-    sock: Sock,
-    bytes: Vec<u8>,
-    out: Vec<u8>,
-    /// Its call is with the reducer, or answered.
-    asked: bool,
-    /// It was refused and may still be sending: closed at once, a reset would overtake the answer.
+    socket: PolledSocket,
+    input: Vec<u8>,
+    output: Vec<u8>,
+    /// The call has been read whole: it is with the reducer, or answered.
+    received: bool,
+    /// The call was refused while the client may still be sending. Closing at once would reset the
+    /// connection, and the client might not receive the answer.
     lingers: bool,
-    since: f64,
+    /// When the connection was accepted, in milliseconds of the monotonic clock.
+    accepted_at: f64,
 }
 
 impl Runtime {
-    /// Takes operators' connections; where there are too many, the one that has waited longest goes.
+    /// Accepts connections of operators; while there are too many, closes the oldest one.
     pub(super) fn accept_callers(&mut self) {
-        (0..self.ops_places.len()).for_each(|at| self.accept_callers_at(at));
+        (0..self.operator_listeners.len()).for_each(|at| self.accept_callers_at(at));
     }
 
     fn accept_callers_at(&mut self, at: usize) {
         loop {
-            let stream = match self.ops_places[at].listener.accept() {
+            let stream = match self.operator_listeners[at].listener.accept() {
                 Ok((stream, _)) => stream,
                 Err(e) => match errno::verdict(&e) {
                     Verdict::WouldBlock => return,
                     Verdict::Interrupted => continue,
-                    // No readiness will tell of those that still wait.
+                    // No readiness event will follow for the connections that are still queued.
                     Verdict::Peer | Verdict::Unreachable | Verdict::Shortage => {
-                        return self.starve(Source::Callers);
+                        return self.defer_for_shortage(Source::Callers);
                     }
                 },
             };
             if stream.set_nonblocking(true).is_err() {
-                continue; // It could hold everything up.
+                continue; // A blocking socket could stall the event loop.
             }
-            let sock = self.watch(Rc::new(stream), Source::Caller(self.next_caller + 1), true);
+            let socket = self.register_socket(Rc::new(stream), Source::Caller(self.last_caller + 1), true);
             if self.callers.len() >= MAX_CALLERS {
                 if let Some(oldest) = self.callers.keys().next().copied() {
                     self.close_caller(oldest);
                 }
             }
-            self.next_caller += 1;
+            self.last_caller += 1;
             let caller = Caller {
-                sock,
-                bytes: Vec::new(),
-                out: Vec::new(),
-                asked: false,
+                socket,
+                input: Vec::new(),
+                output: Vec::new(),
+                received: false,
                 lingers: false,
-                since: self.now(),
+                accepted_at: self.now(),
             };
-            self.callers.insert(self.next_caller, caller);
-            self.dirty.insert(Source::Caller(self.next_caller));
+            self.callers.insert(self.last_caller, caller);
+            self.runnable.insert(Source::Caller(self.last_caller));
         }
     }
 
-    pub(super) fn caller_sock(&mut self, key: u64) -> Option<&mut Sock> {
-        self.callers.get_mut(&key).map(|caller| &mut caller.sock)
+    /// Returns the socket of an operator's connection.
+    pub(super) fn caller_socket(&mut self, key: u64) -> Option<&mut PolledSocket> {
+        self.callers.get_mut(&key).map(|caller| &mut caller.socket)
     }
 
     /// Reads a call and writes its answer.
     pub(super) fn serve_caller(&mut self, key: u64) {
         let Some(caller) = self.callers.get_mut(&key) else { return };
-        let mut heard = None;
-        while caller.sock.readable && (!caller.asked || caller.lingers) {
-            match caller.sock.read(&mut self.buffer[..ops::MAX_CALL]) {
+        let mut complete = None;
+        while caller.socket.readable && (!caller.received || caller.lingers) {
+            match caller.socket.read(&mut self.buffer[..ops::MAX_CALL]) {
                 Ok(_) if caller.lingers => continue,
-                Ok(bytes) => caller.bytes.extend_from_slice(&self.buffer[..bytes]),
-                Err(Io::Closed | Io::Broken) => return self.close_caller(key),
-                Err(Io::Blocked) => break,
-                Err(Io::Starved) => {
-                    self.starve(Source::Caller(key));
+                Ok(bytes) => caller.input.extend_from_slice(&self.buffer[..bytes]),
+                Err(IoStatus::Closed | IoStatus::Broken) => return self.close_caller(key),
+                Err(IoStatus::Blocked) => break,
+                Err(IoStatus::Shortage) => {
+                    self.defer_for_shortage(Source::Caller(key));
                     break;
                 }
             }
-            match ops::read(&caller.bytes) {
+            match ops::read(&caller.input) {
                 Ok(None) => {}
                 Ok(Some(call)) => {
-                    caller.asked = true;
-                    heard = Some(call);
+                    caller.received = true;
+                    complete = Some(call);
                 }
                 Err(refusal) => {
-                    (caller.asked, caller.lingers) = (true, true);
-                    caller.out = ops::answer(Err(refusal));
+                    (caller.received, caller.lingers) = (true, true);
+                    caller.output = ops::answer(Err(refusal));
                 }
             }
         }
-        if heard == Some(ops::Call::Fleet) {
-            let page = self.fleet_page();
-            return self.answer_caller(key, page);
+        if complete == Some(ops::Call::Fleet) {
+            let response = self.fleet_response();
+            return self.answer_caller(key, response);
         }
-        if let Some(call) = heard {
-            // What another process was told meanwhile holds here too, before a word is said of it.
-            self.take_state();
+        if let Some(call) = complete {
+            // Changes saved by another process meanwhile must be in effect before the call is answered.
+            self.sync_state();
             self.inbox.push(Input::Operator { caller: key, call });
         }
         self.write_caller(key);
     }
 
-    /// The reducer has its verdict, or what is to be told.
+    /// Sends the answer to a call.
     pub(super) fn answer_caller(&mut self, key: u64, answer: Vec<u8>) {
         if let Some(caller) = self.callers.get_mut(&key) {
-            caller.out = answer;
+            caller.output = answer;
             self.write_caller(key);
         }
     }
 
     fn write_caller(&mut self, key: u64) {
         let Some(caller) = self.callers.get_mut(&key) else { return };
-        while !caller.out.is_empty() && caller.sock.writable {
-            match caller.sock.write(&caller.out) {
+        while !caller.output.is_empty() && caller.socket.writable {
+            match caller.socket.write(&caller.output) {
                 Ok(bytes) => {
-                    caller.out.drain(..bytes);
-                    if caller.out.is_empty() {
-                        if caller.lingers && caller.sock.stream.shutdown(Shutdown::Write).is_ok() {
-                            return; // Until it closes, or the sweep lets it go.
+                    caller.output.drain(..bytes);
+                    if caller.output.is_empty() {
+                        if caller.lingers && caller.socket.stream.shutdown(Shutdown::Write).is_ok() {
+                            return; // Until the client closes, or the sweep does.
                         }
                         return self.close_caller(key);
                     }
                 }
-                Err(Io::Closed | Io::Broken) => return self.close_caller(key),
-                Err(Io::Blocked) => return,
-                Err(Io::Starved) => return self.starve(Source::Caller(key)),
+                Err(IoStatus::Closed | IoStatus::Broken) => return self.close_caller(key),
+                Err(IoStatus::Blocked) => return,
+                Err(IoStatus::Shortage) => return self.defer_for_shortage(Source::Caller(key)),
             }
         }
     }
 
-    /// Lets go of callers that finish no call.
+    /// Closes connections on which no call has been completed in time.
     pub(super) fn sweep_callers(&mut self, now: f64) {
-        let late = self.callers.iter().filter(|(_, caller)| now - caller.since > 2.0 * WHOLE_MS);
-        let late: Vec<u64> = late.map(|(key, _)| *key).collect();
-        late.into_iter().for_each(|key| self.close_caller(key));
+        let expired = self.callers.iter().filter(|(_, caller)| now - caller.accepted_at > 2.0 * WHOLE_MS);
+        let expired: Vec<u64> = expired.map(|(key, _)| *key).collect();
+        expired.into_iter().for_each(|key| self.close_caller(key));
     }
 
+    /// Closes an operator's connection.
     pub(super) fn close_caller(&mut self, key: u64) {
         if let Some(caller) = self.callers.remove(&key) {
-            self.drop_sock(&caller.sock);
+            self.close_socket(&caller.socket);
         }
     }
 
-    /// Where operators call is told, a line a place.
-    pub(super) fn say_ops(&self) {
-        for place in &self.ops_places {
-            log_line!("operators call at {}", place.at);
+    /// Logs the addresses of the operators' interface, one line each.
+    pub(super) fn log_operator_listeners(&self) {
+        for listener in &self.operator_listeners {
+            log_line!("operators call at {}", listener.address);
         }
     }
 }
 
-/// One place where operators call.
-pub(super) struct Called {
+/// A listening socket of the operators' interface.
+pub(super) struct OperatorListener {
     listener: Rc<Socket>,
-    at: Place,
-    /// The Unix socket's file, by its number: another process may have put its own there since.
+    address: Place,
+    /// The inode of the Unix socket's file, as another process may have replaced the file since.
     inode: Option<u64>,
 }
 
-impl Called {
-    /// Listens there. A Unix socket is this user's alone; it replaces what an earlier process left, whole, so that a
-    /// caller finds the old or the new one.
-    pub(super) fn listen(handle: &LoopHandle<'static, Runtime>, at: Place) -> io::Result<Self> {
-        let (listener, at, inode) = match at {
+impl OperatorListener {
+    /// Starts listening. A Unix socket is accessible to this user only, and atomically replaces the file of
+    /// an earlier process, so that a caller finds either the old or the new one.
+    pub(super) fn listen(handle: &LoopHandle<'static, Runtime>, address: Place) -> io::Result<Self> {
+        let (listener, address, inode) = match address {
             Place::Tcp(address) => {
                 let listener = listen(address)?;
-                let at = Place::Tcp(listener.local_addr()?);
-                (Rc::new(Socket::from(listener)), at, None)
+                let address = Place::Tcp(listener.local_addr()?);
+                (Rc::new(Socket::from(listener)), address, None)
             }
             Place::Unix(path) => {
                 let mut part = path.clone().into_os_string();
                 part.push(format!(".{}", std::process::id()));
-                let _ = fs::remove_file(&part); // Of a process that died and had the same number.
+                let _ = fs::remove_file(&part); // It may be left from a process that had the same id.
                 let listener = Socket::new(Domain::UNIX, Type::STREAM, None)?;
                 listener.set_nonblocking(true)?;
                 listener.bind(&SockAddr::unix(&part)?)?;
@@ -193,16 +198,16 @@
             }
         };
         register(handle, listener.clone(), Source::Callers, Interest::READ)?;
-        Ok(Self { listener, at, inode })
+        Ok(Self { listener, address, inode })
     }
 }
 
-impl Drop for Called {
-    /// A socket's file is taken away with it, if it is still this process's.
+impl Drop for OperatorListener {
+    /// Removes the Unix socket's file, if it still belongs to this process.
     fn drop(&mut self) {
-        if let Place::Unix(path) = &self.at {
-            if fs::metadata(path).is_ok_and(|there| Some(there.ino()) == self.inode) {
-                let _ = fs::remove_file(path); // It may have gone just now.
+        if let Place::Unix(path) = &self.address {
+            if fs::metadata(path).is_ok_and(|found| Some(found.ino()) == self.inode) {
+                let _ = fs::remove_file(path); // It may have been replaced or removed just now.
             }
         }
     }
--- a/src/runtime/plugins.rs
+++ b/src/runtime/plugins.rs
@@ -1,4 +1,5 @@
-//! Plug-ins' files: read, compiled and rehearsed on a thread of their own, so that requests don't wait for it.
+//! Loading of plug-ins: reading, compiling and rehearsing them on a separate thread, so that requests don't
+//! wait.
 
 use super::Runtime;
 use crate::log_line;
@@ -10,71 +11,75 @@
 use std::path::Path;
 use std::sync::Arc;
 
-/// What a loading thread has come to.
-pub(super) struct Ready {
-    /// All names, in order.
+/// The result of loading the plug-ins of one configuration.
+pub(super) struct LoadResult {
+    /// The names of all plug-ins, in the configured order.
     order: Vec<String>,
     loaded: Vec<Loaded>,
-    /// Those that can't be used, and why.
+    /// Plug-ins that can't be used, with the error.
     failed: Vec<(String, String)>,
-    /// Which reload it is of: a later one's result goes before an earlier one's.
-    turn: u64,
+    /// The number of the load; only the result of the latest one is applied.
+    load: u64,
 }
 
-/// The bytes of a program, read whole.
+/// Reads the program of a plug-in. Fails if it is too large or changes while it is read.
 pub fn read_program(path: &Path) -> Result<Arc<[u8]>, String> {
-    let shown = path.display();
-    let file = std::fs::File::open(path).map_err(|e| format!("{shown}: {e}"))?;
+    let name = path.display();
+    let file = std::fs::File::open(path).map_err(|e| format!("{name}: {e}"))?;
     let before = file.metadata().and_then(|data| data.modified());
     let mut bytes = Vec::new();
-    (&file).take(MAX_PROGRAM as u64 + 1).read_to_end(&mut bytes).map_err(|e| format!("{shown}: {e}"))?;
+    (&file).take(MAX_PROGRAM as u64 + 1).read_to_end(&mut bytes).map_err(|e| format!("{name}: {e}"))?;
     if bytes.len() > MAX_PROGRAM {
-        return Err(format!("{shown}: more than {MAX_PROGRAM} bytes"));
+        return Err(format!("{name}: more than {MAX_PROGRAM} bytes"));
     }
-    // One that is written while it is read may be half of each.
+    // A file that is written meanwhile may be read half old and half new.
     let after = file.metadata().and_then(|data| data.modified());
     match (before, after) {
-        (Ok(before), Ok(after)) if before != after => Err(format!("{shown}: it changed while it was read")),
+        (Ok(before), Ok(after)) if before != after => Err(format!("{name}: changed while being read")),
         _ => Ok(bytes.into()),
     }
 }
 
+/// Loads one plug-in and rehearses it on recorded views.
 fn load(spec: &Spec, views: &[Vec<u8>]) -> Result<Loaded, String> {
     let program = read_program(&spec.file)?;
     let mut loaded = Loaded::new(spec.clone(), program.clone()).map_err(|fault| fault.to_string())?;
-    loaded.rehearse(views).map_err(|fault| format!("over {} recorded views: {fault}", views.len()))?;
-    // What it learned from the rehearsal was learned twice.
+    loaded
+        .rehearse(views)
+        .map_err(|fault| format!("rehearsal with {} recorded views failed: {fault}", views.len()))?;
+    // A fresh instance, as the rehearsal has changed the state of the first one.
     Loaded::new(spec.clone(), program).map_err(|fault| fault.to_string())
 }
 
 impl Runtime {
-    /// Has the plug-ins of an operator's file loaded. What is there goes on until then.
+    /// Starts loading the plug-ins of the operator's file. The current ones stay in use until the result
+    /// arrives.
     pub(super) fn load_plugins(&mut self, specs: Vec<Spec>) {
         let now = self.now();
-        self.plugin_turn += 1;
+        self.plugin_load += 1;
         if specs.is_empty() {
             return self.reducer.set_plugins(now, &[], Vec::new());
         }
         let Some(sender) = self.plugin_sender() else { return };
         let views = self.reducer.plugins().map_or(Vec::new(), |plugins| plugins.recorded());
-        let turn = self.plugin_turn;
+        let load_number = self.plugin_load;
         std::thread::spawn(move || {
             let order = specs.iter().map(|spec| spec.name.clone()).collect();
-            let mut ready = Ready { order, loaded: Vec::new(), failed: Vec::new(), turn };
+            let mut result = LoadResult { order, loaded: Vec::new(), failed: Vec::new(), load: load_number };
             for spec in specs {
                 match load(&spec, &views) {
-                    Ok(loaded) => ready.loaded.push(loaded),
-                    Err(why) => ready.failed.push((spec.name, why)),
+                    Ok(loaded) => result.loaded.push(loaded),
+                    Err(why) => result.failed.push((spec.name, why)),
                 }
             }
-            // Nobody waits for it any more only when the process ends.
-            let _ = sender.send(ready);
+            // The receiver is gone only when the process exits.
+            let _ = sender.send(result);
         });
     }
 
-    /// Writes the latest views of requests, a line of hex digits each, whole or not at all.
+    /// Writes the latest views of requests to the record file atomically, one line of hex digits per view.
     pub(super) fn write_views(&self) {
-        let (Some(path), Some(plugins)) = (&self.record, self.reducer.plugins()) else { return };
+        let (Some(path), Some(plugins)) = (&self.view_record_path, self.reducer.plugins()) else { return };
         let mut text = String::new();
         for view in plugins.recorded() {
             view.iter().for_each(|byte| {
@@ -83,42 +88,44 @@
             text.push('\n');
         }
         let part = path.with_extension("part");
-        let shown = path.display();
+        let name = path.display();
         match std::fs::write(&part, text).and_then(|()| std::fs::rename(&part, path)) {
-            Ok(()) => log_line!(always; "the latest views are in {shown}"),
-            Err(e) => log_line!(always; "the latest views can't be written to {shown}: {e}"),
+            Ok(()) => log_line!(always; "wrote the latest views to {name}"),
+            Err(e) => log_line!(always; "cannot write the latest views to {name}: {e}"),
         }
     }
 
-    /// Where loading threads tell what they have come to.
-    fn plugin_sender(&mut self) -> Option<Sender<Ready>> {
-        if self.plugin_ready.is_none() {
+    /// Returns the channel on which loading threads send their results, creating it on first use.
+    fn plugin_sender(&mut self) -> Option<Sender<LoadResult>> {
+        if self.plugin_results.is_none() {
             let (sender, receiver) = channel::channel();
-            let taken = self.handle.insert_source(receiver, |event, &mut (), state: &mut Runtime| {
-                if let Event::Msg(ready) = event {
-                    state.plugins_ready(ready);
+            let registered = self.handle.insert_source(receiver, |event, &mut (), state: &mut Runtime| {
+                if let Event::Msg(result) = event {
+                    state.apply_loaded_plugins(result);
                 }
             });
-            match taken {
-                Ok(_) => self.plugin_ready = Some(sender),
-                Err(e) => log_line!("plug-ins can't be loaded: {e}"),
+            match registered {
+                Ok(_) => self.plugin_results = Some(sender),
+                Err(e) => log_line!("cannot load plug-ins: {e}"),
             }
         }
-        self.plugin_ready.clone()
+        self.plugin_results.clone()
     }
 
-    fn plugins_ready(&mut self, ready: Ready) {
-        if ready.turn != self.plugin_turn {
+    /// Passes loaded plug-ins to the reducer, unless a newer load has started.
+    fn apply_loaded_plugins(&mut self, result: LoadResult) {
+        if result.load != self.plugin_load {
             return;
         }
         let now = self.now();
-        for (name, why) in &ready.failed {
-            log_line!(always; { plugin = %name } "plug-in {name} is not taken, an old version stays: {why}");
+        for (name, why) in &result.failed {
+            log_line!(always; { plugin = %name }
+                "cannot load plug-in {name}; a loaded version stays in use: {why}");
         }
-        let names: Vec<&str> = ready.loaded.iter().map(|one| one.spec.name.as_str()).collect();
+        let names: Vec<&str> = result.loaded.iter().map(|loaded| loaded.spec.name.as_str()).collect();
         if !names.is_empty() {
             log_line!(always; "plug-ins taken: {}", names.join(", "));
         }
-        self.reducer.set_plugins(now, &ready.order, ready.loaded);
+        self.reducer.set_plugins(now, &result.order, result.loaded);
     }
 }
--- a/src/runtime/socket.rs
+++ b/src/runtime/socket.rs
@@ -1,4 +1,4 @@
-//! One socket in the loop, and how to make one.
+//! Nonblocking sockets registered with the event loop, and how they are created.
 
 use super::{Runtime, Source};
 use crate::addresses::{Endpoint, Failure};
@@ -13,31 +13,36 @@
 use std::os::fd::AsFd;
 use std::rc::Rc;
 
-/// Connections that may wait to be accepted: hundreds can come together, and one that finds no place here
-/// tries again only after a second.
+/// Length of the listen queue, in connections. Hundreds may arrive together, and a client that finds the
+/// queue full retries only after a second.
 const BACKLOG: i32 = 1024;
 
-/// A socket in the loop. Edge-triggered: what it was last found able to do is kept here.
-pub(super) struct Sock {
+/// A socket registered with the event loop. Events are edge-triggered, so the last known readiness is kept
+/// here.
+pub(super) struct PolledSocket {
     pub(super) stream: Rc<Socket>,
-    /// None: the loop had no room for it yet, and it is looked at again and again until it has.
+    /// `None` while the event loop lacks resources to register the socket, which is retried until it
+    /// succeeds.
     pub(super) token: Option<RegistrationToken>,
     pub(super) readable: bool,
     pub(super) writable: bool,
 }
 
-/// How a round of reading or writing ended.
-pub(super) enum Io {
-    /// The socket can do no more now.
+/// Why a read or write transferred nothing.
+pub(super) enum IoStatus {
+    /// The socket is not ready.
     Blocked,
-    /// This machine lacks something for it now. To be tried again shortly: no readiness will tell.
-    Starved,
+    /// This machine lacks a resource. The operation must be retried after a pause, as no readiness event will
+    /// follow.
+    Shortage,
     /// The peer has closed its side.
     Closed,
-    /// It is broken: reset by its peer, or its path is gone.
+    /// The connection is broken: reset by the peer, or the route is gone.
     Broken,
 }
 
+/// Registers a descriptor with the event loop, edge-triggered; its readiness is collected in
+/// [`Runtime::ready`].
 pub(super) fn register<F: AsFd + 'static>(
     handle: &LoopHandle<'static, Runtime>,
     file: F,
@@ -45,17 +50,17 @@
     interest: Interest,
 ) -> io::Result<RegistrationToken> {
     let generic = Generic::new(file, interest, Mode::Edge);
-    let noted = move |readiness: Readiness, _: &mut calloop::generic::NoIoDrop<F>, state: &mut Runtime| {
+    let record = move |readiness: Readiness, _: &mut calloop::generic::NoIoDrop<F>, state: &mut Runtime| {
         let known = state.ready.entry(source).or_insert(Readiness::EMPTY);
         known.readable |= readiness.readable;
         known.writable |= readiness.writable;
         known.error |= readiness.error;
         Ok(PostAction::Continue)
     };
-    handle.insert_source(generic, noted).map_err(|e| io_error(e.error))
+    handle.insert_source(generic, record).map_err(|e| io_error(e.error))
 }
 
-/// The system's error in one of the event loop's.
+/// Converts an error of the event loop to an I/O error.
 pub(super) fn io_error(error: calloop::Error) -> io::Error {
     match error {
         calloop::Error::IoError(error) => error,
@@ -63,17 +68,18 @@
     }
 }
 
+/// Creates a nonblocking TCP listener.
 pub(super) fn listen(address: SocketAddr) -> io::Result<TcpListener> {
     let socket = Socket::new(Domain::for_address(address), Type::STREAM, Some(Protocol::TCP))?;
     socket.set_nonblocking(true)?;
-    socket.set_reuse_address(true)?; // Connections from before a restart may still be closing.
-    socket.set_reuse_port(true)?; // A new version starts while the old one still serves.
+    socket.set_reuse_address(true)?; // Connections from before a restart may be in TIME_WAIT.
+    socket.set_reuse_port(true)?; // A new process starts while the old one still serves.
     socket.bind(&address.into())?;
     socket.listen(BACKLOG)?;
     Ok(socket.into())
 }
 
-/// Starts to connect.
+/// Creates a socket and starts a nonblocking connect.
 pub(super) fn dial(endpoint: &Endpoint) -> io::Result<Socket> {
     let (domain, protocol, address) = match endpoint {
         Endpoint::Unix(path) => (Domain::UNIX, None, SockAddr::unix(path)?),
@@ -85,17 +91,17 @@
     }
     match socket.connect(&address) {
         Ok(()) => Ok(socket),
-        // A connect that is interrupted goes on by itself, as one that takes its time does (connect(2)).
+        // An interrupted connect continues asynchronously, like one in progress (connect(2)).
         Err(e) if matches!(Errno::from_io_error(&e), Some(Errno::INPROGRESS | Errno::INTR)) => Ok(socket),
         Err(e) => Err(e),
     }
 }
 
-/// What it says of a path that its dial has ended with an error, at once or later.
+/// Classifies the error of a dial, whether connect failed at once or later.
 pub(super) fn dial_end(endpoint: &Endpoint, error: &io::Error) -> DialEnd {
     match (errno::verdict(error), endpoint) {
         (Verdict::Shortage | Verdict::Interrupted, _) => DialEnd::NoRoom,
-        // A Unix socket's connect says so where the peer's queue is full, any other's where ports are short.
+        // EAGAIN from connect means a full listen queue on a Unix socket, and a lack of local ports on TCP.
         (Verdict::WouldBlock, Endpoint::Unix(_)) => DialEnd::Failed(Failure::Refused),
         (Verdict::WouldBlock, Endpoint::Tcp(_)) => DialEnd::NoRoom,
         (Verdict::Unreachable, _) => DialEnd::Unreachable,
@@ -104,30 +110,35 @@
     }
 }
 
-impl Sock {
-    pub(super) fn read(&mut self, buffer: &mut [u8]) -> Result<usize, Io> {
-        once(&mut self.readable, || (&*self.stream).read(buffer))
+impl PolledSocket {
+    /// Reads once into `buffer` and returns the number of bytes, at least one.
+    pub(super) fn read(&mut self, buffer: &mut [u8]) -> Result<usize, IoStatus> {
+        perform_io(&mut self.readable, || (&*self.stream).read(buffer))
     }
 
-    pub(super) fn write(&mut self, bytes: &[u8]) -> Result<usize, Io> {
-        once(&mut self.writable, || (&*self.stream).write(bytes))
+    /// Writes once and returns the number of bytes written, at least one.
+    pub(super) fn write(&mut self, bytes: &[u8]) -> Result<usize, IoStatus> {
+        perform_io(&mut self.writable, || (&*self.stream).write(bytes))
     }
 }
 
-/// Reads or writes once; `able` is taken away when the socket can do no more.
-pub(super) fn once(able: &mut bool, mut io: impl FnMut() -> io::Result<usize>) -> Result<usize, Io> {
+/// Reads or writes once, retrying if a signal interrupts the call. Clears `ready` when the call would block.
+pub(super) fn perform_io(
+    ready: &mut bool,
+    mut io: impl FnMut() -> io::Result<usize>,
+) -> Result<usize, IoStatus> {
     loop {
         match io() {
-            Ok(0) => return Err(Io::Closed),
+            Ok(0) => return Err(IoStatus::Closed),
             Ok(bytes) => return Ok(bytes),
             Err(e) => match errno::verdict(&e) {
                 Verdict::Interrupted => {}
                 Verdict::WouldBlock => {
-                    *able = false;
-                    return Err(Io::Blocked);
+                    *ready = false;
+                    return Err(IoStatus::Blocked);
                 }
-                Verdict::Shortage => return Err(Io::Starved),
-                Verdict::Unreachable | Verdict::Peer => return Err(Io::Broken),
+                Verdict::Shortage => return Err(IoStatus::Shortage),
+                Verdict::Unreachable | Verdict::Peer => return Err(IoStatus::Broken),
             },
         }
     }
--- a/tests/rig/flow.rs
+++ b/tests/rig/flow.rs
@@ -1,5 +1,5 @@
-//! A client that goes on sending on one connection for as long as it is open, and an endpoint that keeps such a connection
-//! from ever being at rest.
+//! A client that keeps sending on one connection while it is open, and an endpoint that answers so late that
+//! such a connection never becomes idle.
 
 use super::{Client, Endpoint, Event, ReceivedRequest};
 use frostturn::fastcgi::{self, kind};
@@ -11,84 +11,96 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Time between two requests.
-const GAP: Duration = Duration::from_millis(20);
-/// What crosses a close within this time is sent again by the platform's clients.
-pub const CROSSES: Duration = Duration::from_millis(50);
+/// Interval between two requests.
+const REQUEST_INTERVAL: Duration = Duration::from_millis(20);
+/// Requests sent within this time before a close are repeated by the platform's clients.
+pub const CLOSE_RACE: Duration = Duration::from_millis(50);
 
-/// How requests come on the connection.
+/// The pattern in which requests are sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Shape {
-    /// Each before the one before it is answered, where the endpoint waits for that ([`hold_back`]).
+pub enum SendPattern {
+    /// Each request is sent before the previous one is answered, given an endpoint that delays answers
+    /// ([`delay_answers`]).
     Overlapping,
-    /// Each write ends half-way in the next request.
-    InPieces,
+    /// Each write ends in the middle of a request.
+    Split,
 }
 
-/// What a client has seen.
+/// The client's record of a connection.
 #[derive(Debug, Default)]
-pub struct Seen {
-    /// By number: when it began to be written, when its last byte was, and the status of its answers with their times.
-    pub requests: BTreeMap<u16, Sent>,
+pub struct Transcript {
+    /// By request number.
+    pub requests: BTreeMap<u16, SentRequest>,
     /// When the connection ended, and whether by a reset.
     pub ended: Option<(Instant, bool)>,
 }
 
 /// A request that was sent.
 #[derive(Debug)]
-pub struct Sent {
+pub struct SentRequest {
+    /// When the first byte was written.
     pub begun: Instant,
-    pub whole: Option<Instant>,
+    /// When the last byte was written.
+    pub complete: Option<Instant>,
+    /// Status codes and times of the answers.
     pub answers: Vec<(u16, Instant)>,
 }
 
-fn see(seen: &Mutex<Seen>) -> std::sync::MutexGuard<'_, Seen> {
-    seen.lock().expect("not poisoned")
+fn lock(transcript: &Mutex<Transcript>) -> std::sync::MutexGuard<'_, Transcript> {
+    transcript.lock().expect("not poisoned")
 }
 
-/// Sends on a connection until the router ends it, or until a time: what the client has seen by then.
-pub fn until_closed(client: Client, shape: Shape, wait_ms: u64, until: Instant) -> Seen {
-    let seen = Arc::new(Mutex::new(Seen::default()));
+/// Sends on a connection until the router closes it, or until a time. Returns the record of the connection.
+pub fn until_closed(client: Client, pattern: SendPattern, timeout_ms: u64, until: Instant) -> Transcript {
+    let transcript = Arc::new(Mutex::new(Transcript::default()));
     let reader = client.stream.try_clone().expect("a second handle");
-    let reads = thread::spawn({
-        let seen = seen.clone();
-        move || read(reader, &seen)
+    let reader_thread = thread::spawn({
+        let transcript = transcript.clone();
+        move || read(reader, &transcript)
     });
-    write(&client.stream, shape, wait_ms, until, &seen);
-    if see(&seen).ended.is_none() {
-        let _ = client.stream.shutdown(Shutdown::Both); // It may end just now.
+    write(&client.stream, pattern, timeout_ms, until, &transcript);
+    if lock(&transcript).ended.is_none() {
+        let _ = client.stream.shutdown(Shutdown::Both); // The router may close it at the same time.
     }
-    reads.join().expect("read to the end");
-    let seen = std::mem::take(&mut *see(&seen));
-    seen
+    reader_thread.join().expect("read to the end");
+    let transcript = std::mem::take(&mut *lock(&transcript));
+    transcript
 }
 
-fn write(mut stream: &TcpStream, shape: Shape, wait_ms: u64, until: Instant, seen: &Mutex<Seen>) {
-    let mut rest = Vec::new();
+fn write(
+    mut stream: &TcpStream,
+    pattern: SendPattern,
+    timeout_ms: u64,
+    until: Instant,
+    transcript: &Mutex<Transcript>,
+) {
+    let mut pending = Vec::new();
     for number in 1..u16::MAX {
-        if see(seen).ended.is_some() || Instant::now() >= until {
+        if lock(transcript).ended.is_some() || Instant::now() >= until {
             return;
         }
         let id = u64::from(number);
-        let request = Client::request_bytes_with_timeout(wait_ms, number, "page", id, id, b"");
-        let cut = if shape == Shape::InPieces { request.len() / 2 } else { request.len() };
-        let before = (shape == Shape::InPieces).then(|| number - 1);
+        let request = Client::request_bytes_with_timeout(timeout_ms, number, "page", id, id, b"");
+        let cut = if pattern == SendPattern::Split { request.len() / 2 } else { request.len() };
+        let before = (pattern == SendPattern::Split).then(|| number - 1);
         let now = Instant::now();
-        see(seen).requests.insert(number, Sent { begun: now, whole: None, answers: Vec::new() });
-        rest.extend_from_slice(&request[..cut]);
-        if stream.write_all(&rest).is_err() {
-            return; // It has just ended.
+        lock(transcript)
+            .requests
+            .insert(number, SentRequest { begun: now, complete: None, answers: Vec::new() });
+        pending.extend_from_slice(&request[..cut]);
+        if stream.write_all(&pending).is_err() {
+            return; // The connection has just ended.
         }
-        let whole = before.unwrap_or(number);
-        if let Some(sent) = see(seen).requests.get_mut(&whole) {
-            sent.whole = Some(Instant::now());
+        let complete = before.unwrap_or(number);
+        if let Some(sent) = lock(transcript).requests.get_mut(&complete) {
+            sent.complete = Some(Instant::now());
         }
-        rest = request[cut..].to_vec();
-        thread::sleep(GAP);
+        pending = request[cut..].to_vec();
+        thread::sleep(REQUEST_INTERVAL);
     }
 }
 
-fn read(mut stream: TcpStream, seen: &Mutex<Seen>) {
+fn read(mut stream: TcpStream, transcript: &Mutex<Transcript>) {
     let (mut decoder, mut buffer) = (fastcgi::Decoder::default(), [0; 64 * 1024]);
     let mut heads: BTreeMap<u16, Vec<u8>> = BTreeMap::new();
     let reset = loop {
@@ -105,76 +117,82 @@
                     let text = String::from_utf8_lossy(&head).into_owned();
                     let status = text.strip_prefix("Status: ").and_then(|rest| rest.get(..3));
                     let status = status.and_then(|status| status.parse().ok()).expect("a status");
-                    let mut seen = see(seen);
-                    let sent = seen.requests.get_mut(&record.request).expect("it was asked");
+                    let mut transcript = lock(transcript);
+                    let sent = transcript.requests.get_mut(&record.request).expect("it was sent");
                     sent.answers.push((status, Instant::now()));
                 }
                 _ => {}
             }
         }
     };
-    see(seen).ended = Some((Instant::now(), reset));
+    lock(transcript).ended = Some((Instant::now(), reset));
 }
 
-impl Seen {
-    /// Requests without an answer that are owed one: whole, and not written in the very moment of the close.
+impl Transcript {
+    /// Returns the unanswered requests that must be answered: those sent completely, and not within
+    /// [`CLOSE_RACE`] of the close.
     pub fn unanswered(&self) -> Vec<u16> {
         let end = self.ended.map(|(at, _)| at);
         let crossed =
-            |sent: &Sent| end.is_some_and(|end| sent.whole.is_some_and(|whole| whole + CROSSES > end));
-        let owed = |sent: &&Sent| sent.whole.is_some() && sent.answers.is_empty() && !crossed(sent);
-        self.requests.iter().filter(|(_, sent)| owed(sent)).map(|(number, _)| *number).collect()
+            |sent: &SentRequest| end.is_some_and(|end| sent.complete.is_some_and(|at| at + CLOSE_RACE > end));
+        let missing =
+            |sent: &&SentRequest| sent.complete.is_some() && sent.answers.is_empty() && !crossed(sent);
+        self.requests.iter().filter(|(_, sent)| missing(sent)).map(|(number, _)| *number).collect()
     }
 
-    /// Requests with more than one answer.
+    /// Returns the requests with more than one answer.
     pub fn answered_twice(&self) -> Vec<u16> {
         let twice = self.requests.iter().filter(|(_, sent)| sent.answers.len() > 1);
         twice.map(|(number, _)| *number).collect()
     }
 
-    /// Statuses of the answers to what was written after a time.
+    /// Returns the status codes of the answers to requests begun after a time.
     pub fn statuses_after(&self, from: Instant) -> Vec<u16> {
         let after = self.requests.values().filter(|sent| sent.begun > from);
         after.flat_map(|sent| &sent.answers).map(|(status, _)| *status).collect()
     }
 }
 
-/// An endpoint that answers a request once so many more have come, so that a connection that brings them is never at
-/// rest; or once none has come for a while, as nothing more is sent on to it.
-pub struct Holding {
+/// An endpoint that answers a request only after a number of further requests has arrived, so that their
+/// connection never becomes idle. When no request has arrived for a while, it answers the remaining ones too.
+pub struct DelayedAnswers {
     stop: Arc<AtomicBool>,
-    serves: Option<thread::JoinHandle<()>>,
+    server: Option<thread::JoinHandle<()>>,
 }
 
-/// See [`Holding`].
-pub fn hold_back(endpoint: Endpoint, more: usize) -> Holding {
+/// Starts answering the requests of an endpoint, each after `further` more; see [`DelayedAnswers`].
+pub fn delay_answers(endpoint: Endpoint, further: usize) -> DelayedAnswers {
     const QUIET: Duration = Duration::from_millis(300);
     let stop = Arc::new(AtomicBool::new(false));
     let stopped = stop.clone();
-    let serves = thread::spawn(move || {
-        let mut held: VecDeque<ReceivedRequest> = VecDeque::new();
-        let mut came = Instant::now();
+    let server = thread::spawn(move || {
+        let mut pending: VecDeque<ReceivedRequest> = VecDeque::new();
+        let mut last_arrival = Instant::now();
         while !stopped.load(Ordering::Relaxed) {
             for event in endpoint.received_events() {
                 let Event::Frame(conn, parts) = event else { continue };
                 if parts[0] == "REQ" {
-                    held.push_back(ReceivedRequest { conn, id: parts[1].clone(), fields: parts[2].clone() });
-                    came = Instant::now();
+                    pending.push_back(ReceivedRequest {
+                        conn,
+                        id: parts[1].clone(),
+                        fields: parts[2].clone(),
+                    });
+                    last_arrival = Instant::now();
                 }
             }
-            let keep = if came.elapsed() > QUIET { 0 } else { more };
-            while held.len() > keep {
-                held.pop_front().iter().for_each(|asked| endpoint.serve(asked));
+            let keep = if last_arrival.elapsed() > QUIET { 0 } else { further };
+            while pending.len() > keep {
+                pending.pop_front().iter().for_each(|request| endpoint.serve(request));
             }
             thread::sleep(Duration::from_millis(1));
         }
     });
-    Holding { stop, serves: Some(serves) }
+    DelayedAnswers { stop, server: Some(server) }
 }
 
-impl Drop for Holding {
+impl Drop for DelayedAnswers {
     fn drop(&mut self) {
         self.stop.store(true, Ordering::Relaxed);
-        let _ = self.serves.take().map(thread::JoinHandle::join); // Its own panic has failed a test already.
+        let _ = self.server.take().map(thread::JoinHandle::join); // Its panic has failed the test already.
     }
 }
