--- a/tests/rig/mod.rs
+++ b/tests/rig/mod.rs
@@ -1,7 +1,8 @@
-//! The daemon as a process between scripted peers on loopback, and the means to have two events ready before it looks:
-//! it is stopped, the peers write, close and signal, and it goes on. Tests wait for states, with a generous end.
+//! Runs the router as a process between scripted peers on loopback. A test can make several events arrive in
+//! one wake-up of the event loop: it stops the process, lets the peers write, close and signal, and continues
+//! the process. Tests wait for states, with a generous timeout.
 
-#![allow(dead_code)] // Each test file uses its part.
+#![allow(dead_code)] // Each test file uses only some of the items.
 
 use frostturn::fastcgi::{self, kind};
 use frostturn::resp;
@@ -17,50 +18,53 @@
 
 pub mod flow;
 
-/// The laboratory's, which these tests can't depend on as it depends on the daemon.
+/// A module of the laboratory crate. That crate depends on this one, so these tests can't depend on it.
 #[path = "../../crates/frostturn-lab/src/loopback.rs"]
 pub mod loopback;
 
 /// How long a test waits for a state before it fails.
-const PATIENCE: Duration = Duration::from_secs(20);
+const STATE_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Waits until something is so.
-pub fn wait_until(what: &str, mut so: impl FnMut() -> bool) {
-    let from = Instant::now();
-    while !so() {
-        assert!(from.elapsed() < PATIENCE, "waited in vain: {what}");
+/// Waits until a condition holds.
+pub fn wait_until(what: &str, mut condition: impl FnMut() -> bool) {
+    let started = Instant::now();
+    while !condition() {
+        assert!(started.elapsed() < STATE_TIMEOUT, "timed out waiting for: {what}");
         thread::sleep(Duration::from_millis(2));
     }
 }
 
-/// Lets so much time pass for whoever is stopped: a deadline of it is over by then.
+/// Sleeps, so that timers of a paused process expire.
 pub fn sleep_ms(ms: u64) {
     thread::sleep(Duration::from_millis(ms));
 }
 
-/// What the daemon is told at its start.
+/// The configuration and environment of a router process.
 pub struct RouterSetup {
     /// Names and addresses.
     pub endpoints: Vec<(&'static str, String)>,
-    pub board: String,
-    /// Further members of the settings, and of their `Limits`.
+    /// The address of the discovery service.
+    pub discovery: String,
+    /// Further JSON members of the settings.
     pub settings: &'static str,
+    /// JSON members of the settings' `Limits`.
     pub limits: &'static str,
     pub memory_mb: u32,
     pub sockets: u32,
+    /// Command-line options.
     pub options: Vec<String>,
-    /// Where it keeps its files; where the system has them, if not set.
+    /// `TMPDIR` of the process; the system's default if `None`.
     pub tmp: Option<std::path::PathBuf>,
-    /// How long clients of each class wait, in milliseconds.
+    /// The deadline of each request class, in milliseconds.
     pub deadline_ms: u64,
 }
 
 impl RouterSetup {
-    /// One location with these endpoints; nobody answers at the board.
+    /// One location with these endpoints, and a discovery address at which nothing listens.
     pub fn new(endpoints: &[(&'static str, &Endpoint)]) -> Self {
         Self {
             endpoints: endpoints.iter().map(|(name, one)| (*name, one.address.clone())).collect(),
-            board: "127.0.0.1:1".into(),
+            discovery: "127.0.0.1:1".into(),
             settings: r#""Guarantees":{"StopSendingWithinMs":1000.0}"#,
             limits: r#""MostTries":4,"Cancelling":true"#,
             memory_mb: 192,
@@ -74,9 +78,9 @@
     fn json(&self) -> String {
         let endpoints: Vec<String> =
             self.endpoints.iter().map(|(n, at)| endpoint_json(n, at, "active")).collect();
-        let Self { board, settings, limits, memory_mb, sockets, deadline_ms, .. } = self;
+        let Self { discovery, settings, limits, memory_mb, sockets, deadline_ms, .. } = self;
         format!(
-            r#"{{"name":"n0","listen":"127.0.0.1:0","seed":"7","board":"{board}",
+            r#"{{"name":"n0","listen":"127.0.0.1:0","seed":"7","board":"{discovery}",
             "limits":{{"memory_mb":{memory_mb},"sockets":{sockets}}},
             "known":{{"rev":1,"notices":[{}]}},
             "settings":{{"Az":"east","Localities":["east"],"MachineTypes":["std"],"Limits":{{{limits}}},{settings},
@@ -90,122 +94,125 @@
     }
 }
 
-/// One endpoint as the board lists it.
+/// An endpoint in the format of the discovery service.
 pub fn endpoint_json(name: &str, address: &str, status: &str) -> String {
     format!(r#"{{"name":"{name}","address":"{address}","zone":"east","type":"std","status":"{status}"}}"#)
 }
 
-/// A board's event about endpoints.
+/// A discovery event with endpoints: the full list if `whole`, else changes.
 pub fn pool_notice_json(rev: u64, whole: bool, endpoints: &str) -> String {
     format!(r#"{{"rev":{rev},"pool":{{"snapshot":{whole},"endpoints":[{endpoints}]}}}}"#)
 }
 
-/// The daemon.
+/// A running router process.
 pub struct Router {
     child: Child,
     log: Arc<Mutex<String>>,
+    /// The address for clients.
     pub address: String,
 }
 
 impl Router {
-    pub fn start(test: &str, site: &RouterSetup) -> Self {
+    /// Starts a router and waits until it listens.
+    pub fn start(test: &str, setup: &RouterSetup) -> Self {
         let path = std::path::Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("rig-{test}.json"));
-        std::fs::write(&path, site.json()).expect("written");
+        std::fs::write(&path, setup.json()).expect("written");
         let mut child = Command::new(env!("CARGO_BIN_EXE_frostturn"))
-            .args(&site.options)
+            .args(&setup.options)
             .env("PROXY_CONFIG", path)
-            .env("TMPDIR", site.tmp.clone().unwrap_or_else(std::env::temp_dir))
+            .env("TMPDIR", setup.tmp.clone().unwrap_or_else(std::env::temp_dir))
             .env_remove("PROXY_LISTEN")
             .stderr(Stdio::piped())
             .spawn()
             .expect("it starts");
         let log = Arc::new(Mutex::new(String::new()));
-        let (lines, said) = (BufReader::new(child.stderr.take().expect("piped")), log.clone());
+        let (reader, text) = (BufReader::new(child.stderr.take().expect("piped")), log.clone());
         thread::spawn(move || {
-            for line in lines.lines().map_while(Result::ok) {
-                let mut said = said.lock().expect("not poisoned");
-                said.push_str(&line);
-                said.push('\n');
+            for line in reader.lines().map_while(Result::ok) {
+                let mut text = text.lock().expect("not poisoned");
+                text.push_str(&line);
+                text.push('\n');
             }
         });
         let mut router = Self { child, log, address: String::new() };
         router.wait_for_log("listens on ");
-        let said = router.log_text();
-        let listens = said.split("listens on ").nth(1).and_then(|rest| rest.split([',', '\n']).next());
-        router.address = listens.expect("an address").to_owned();
+        let log = router.log_text();
+        let address = log.split("listens on ").nth(1).and_then(|rest| rest.split([',', '\n']).next());
+        router.address = address.expect("an address").to_owned();
         router
     }
 
-    /// All that it has logged.
+    /// Returns everything logged so far.
     pub fn log_text(&self) -> String {
         self.log.lock().expect("not poisoned").clone()
     }
 
-    /// Where operators call it, if it was told a place.
+    /// Returns the address of the operators' interface, which must be configured.
     pub fn operator_address(&self) -> String {
-        let said = self.log_text();
-        let after = said.split("operators call at ").nth(1).expect("a place");
+        let log = self.log_text();
+        let after = log.split("operators call at ").nth(1).expect("an operators' interface");
         after.lines().next().expect("an address").to_owned()
     }
 
-    /// Its process's number.
+    /// Returns the process id.
     pub fn pid(&self) -> u32 {
         self.child.id()
     }
 
-    /// Bytes of memory that it holds.
+    /// Returns the resident set size in bytes.
     pub fn resident_bytes(&self) -> u64 {
         let path = format!("/proc/{}/statm", self.child.id());
         let text = std::fs::read_to_string(path).expect("it runs");
-        4096 * text.split(' ').nth(1).and_then(|pages| pages.parse::<u64>().ok()).expect("a figure")
+        4096 * text.split(' ').nth(1).and_then(|pages| pages.parse::<u64>().ok()).expect("a number")
     }
 
-    /// Sockets and files that it holds.
+    /// Returns the number of open file descriptors.
     pub fn open_descriptors(&self) -> usize {
         std::fs::read_dir(format!("/proc/{}/fd", self.child.id())).expect("it runs").count()
     }
 
-    /// Bounds the files that it may hold open.
-    pub fn limit_descriptors(&self, most: u64) {
+    /// Sets the soft limit of open file descriptors.
+    pub fn limit_descriptors(&self, max: u64) {
         let pid = rustix::process::Pid::from_raw(self.child.id() as i32);
         let maximum = rustix::process::getrlimit(rustix::process::Resource::Nofile).maximum;
-        let limit = rustix::process::Rlimit { current: Some(most), maximum };
+        let limit = rustix::process::Rlimit { current: Some(max), maximum };
         rustix::process::prlimit(pid, rustix::process::Resource::Nofile, limit).expect("set");
     }
 
-    /// Kills it at once.
+    /// Kills the process and waits for its end.
     pub fn kill(mut self) {
         self.child.kill().and_then(|()| self.child.wait()).expect("killed");
     }
 
-    /// Waits until it has logged these words.
-    pub fn wait_for_log(&self, words: &str) {
-        wait_until(words, || self.log_text().contains(words));
+    /// Waits until the log contains a text.
+    pub fn wait_for_log(&self, text: &str) {
+        wait_until(text, || self.log_text().contains(text));
     }
 
+    /// Sends a signal, given as an option of `kill`.
     pub fn signal(&self, name: &str) {
         let killed = Command::new("kill").args([name, &self.child.id().to_string()]).status();
         assert!(killed.expect("kill runs").success());
     }
 
-    /// Stops it; once this returns it runs no further.
+    /// Stops the process with SIGSTOP, and waits until it is stopped.
     pub fn pause(&self) {
         self.signal("-STOP");
         let stat = format!("/proc/{}/stat", self.child.id());
         wait_until("stopped", || std::fs::read_to_string(&stat).is_ok_and(|stat| stat.contains(") T ")));
     }
 
-    /// Lets it go on: all that is ready by now comes to it in one wake.
+    /// Continues a paused process, which receives all events since the pause in one wake-up.
     pub fn resume(&self) {
         self.signal("-CONT");
     }
 
-    /// Whether its process has ended.
+    /// Returns whether the process has exited.
     pub fn has_exited(&mut self) -> bool {
         self.child.try_wait().expect("a child").is_some()
     }
 
-    /// A figure that it has counted so far.
+    /// Returns the current value of a counter.
     pub fn counter(&self, name: &str) -> u64 {
         let before = self.log_text().matches("counters ").count();
         self.signal("-USR1");
@@ -213,17 +220,17 @@
         counter_in(&self.log_text(), name)
     }
 
-    /// Tells it to end, and waits until it has, with code 0: what it logged.
+    /// Sends SIGTERM, waits for an exit with code 0, and returns the log.
     pub fn terminate(self) -> String {
         self.signal("-TERM");
         self.wait_for_exit()
     }
 
-    /// It was told to end, and does.
+    /// Waits for an exit with code 0 and without violations, and returns the log.
     pub fn wait_for_exit(mut self) -> String {
-        wait_until("its end", || self.has_exited());
-        let status = self.child.wait().expect("it has ended");
-        wait_until("its last line", || self.log_text().contains(" ends; counters"));
+        wait_until("exit of the process", || self.has_exited());
+        let status = self.child.wait().expect("it has exited");
+        wait_until("the last log line", || self.log_text().contains(" ends; counters"));
         assert!(status.success(), "{}", self.log_text());
         assert_eq!(counter_in(&self.log_text(), "violations"), 0, "{}", self.log_text());
         self.log_text()
@@ -232,15 +239,15 @@
 
 impl Drop for Router {
     fn drop(&mut self) {
-        let _ = self.child.kill(); // It may have ended.
+        let _ = self.child.kill(); // It may have exited.
         let _ = self.child.wait();
     }
 }
 
-/// One call to where operators call; the answer's status.
+/// Makes a call to the operators' interface and returns the status code.
 pub fn operator_call(address: &str, method: &str, path: &str, body: &str) -> u16 {
     let mut stream = TcpStream::connect(address).expect("it listens");
-    stream.set_read_timeout(Some(PATIENCE)).expect("set");
+    stream.set_read_timeout(Some(STATE_TIMEOUT)).expect("set");
     let length = body.len();
     write!(stream, "{method} {path} HTTP/1.1\r\nHost: x\r\nContent-Length: {length}\r\n\r\n{body}")
         .expect("written");
@@ -249,25 +256,25 @@
     text.split(' ').nth(1).and_then(|status| status.parse().ok()).unwrap_or(0)
 }
 
-/// A figure of the last counters in a log.
+/// Returns a counter from the last counters line of a log.
 pub fn counter_in(log: &str, name: &str) -> u64 {
     let last = log.rsplit("counters ").next().unwrap_or_default();
     let found = last.split_whitespace().find_map(|pair| pair.strip_prefix(name)?.strip_prefix('='));
-    found.and_then(|figure| figure.parse().ok()).unwrap_or_else(|| panic!("{name}: {log}"))
+    found.and_then(|value| value.parse().ok()).unwrap_or_else(|| panic!("{name}: {log}"))
 }
 
-/// What comes to an endpoint.
+/// An event at an endpoint, with the number of the connection.
 #[derive(Debug, PartialEq)]
 pub enum Event {
-    /// A connection.
+    /// A new connection.
     Connected(usize),
-    /// A frame on it.
+    /// A received frame.
     Frame(usize, Vec<String>),
-    /// It has ended, by a reset or not.
+    /// The end of a connection, and whether it was reset.
     Disconnected(usize, bool),
 }
 
-/// A request that has come whole.
+/// A request received by an endpoint.
 #[derive(Clone, Debug)]
 pub struct ReceivedRequest {
     pub conn: usize,
@@ -275,33 +282,38 @@
     pub fields: String,
 }
 
-/// Takes a request at whichever of these endpoints it comes to: whose, and the request.
-pub fn next_request_at_any(ends: &[(&'static str, Endpoint)]) -> (usize, ReceivedRequest) {
-    let mut came = None;
+/// Waits for a request at any of these endpoints. Returns the index of the endpoint and the request.
+pub fn next_request_at_any(endpoints: &[(&'static str, Endpoint)]) -> (usize, ReceivedRequest) {
+    let mut received = None;
     wait_until("a request", || {
-        came = ends.iter().enumerate().find_map(|(at, (_, end))| Some((at, end.try_next_request()?)));
-        came.is_some()
+        received = endpoints
+            .iter()
+            .enumerate()
+            .find_map(|(at, (_, endpoint))| Some((at, endpoint.try_next_request()?)));
+        received.is_some()
     });
-    came.expect("one came")
+    received.expect("a request")
 }
 
-/// An endpoint that does what it is told: it holds each answer until the test gives it.
+/// A scripted endpoint: the test decides when and how each request is answered.
 pub struct Endpoint {
     pub address: String,
     events: Receiver<Event>,
     conns: Arc<Mutex<BTreeMap<usize, TcpStream>>>,
-    held: Option<(Socket, Vec<Socket>, Sender<Event>)>,
+    /// While no connections are accepted: the listener, the connections that fill its queue, and the event
+    /// channel.
+    not_accepting: Option<(Socket, Vec<Socket>, Sender<Event>)>,
 }
 
 impl Endpoint {
-    /// One that takes connections.
+    /// Creates an endpoint that accepts connections.
     pub fn new() -> Self {
         let mut endpoint = Self::with_full_backlog();
         endpoint.accept_connections();
         endpoint
     }
 
-    /// One that listens, and whose queue is full: what dials it now waits until it opens.
+    /// Creates an endpoint with a full listen queue: a dial does not complete until it accepts connections.
     pub fn with_full_backlog() -> Self {
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
         socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).expect("a port");
@@ -310,19 +322,20 @@
         let fillers = (0..3).map(|_| {
             let filler = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
             filler.set_nonblocking(true).expect("set");
-            let _ = filler.connect(&address); // The first is taken into the queue, the others fill what is left.
+            let _ = filler.connect(&address); // The first enters the queue, the others fill the rest of it.
             filler
         });
         let fillers = fillers.collect();
-        let (tell, events) = channel();
+        let (sender, events) = channel();
         let address = address.as_socket().expect("an address").to_string();
-        Self { address, events, conns: Arc::default(), held: Some((socket, fillers, tell)) }
+        Self { address, events, conns: Arc::default(), not_accepting: Some((socket, fillers, sender)) }
     }
 
-    /// Takes connections from now on, those that wait first.
+    /// Starts accepting connections, pending ones first.
     pub fn accept_connections(&mut self) {
-        let Some((socket, fillers, tell)) = self.held.take() else { return };
-        let fillers: Vec<_> = fillers.iter().filter_map(|one| one.local_addr().ok()?.as_socket()).collect();
+        let Some((socket, fillers, sender)) = self.not_accepting.take() else { return };
+        let fillers: Vec<_> =
+            fillers.iter().filter_map(|filler| filler.local_addr().ok()?.as_socket()).collect();
         socket.listen(128).expect("it listens");
         let (listener, conns) = (TcpListener::from(socket), self.conns.clone());
         thread::spawn(move || {
@@ -334,23 +347,23 @@
                 let _ = stream.set_nodelay(true);
                 let reader = stream.try_clone().expect("a second handle");
                 conns.lock().expect("not poisoned").insert(next, stream);
-                if tell.send(Event::Connected(next)).is_err() {
+                if sender.send(Event::Connected(next)).is_err() {
                     return;
                 }
-                let tell = tell.clone();
+                let sender = sender.clone();
                 let conn = next;
-                thread::spawn(move || read(conn, reader, &tell));
+                thread::spawn(move || read(conn, reader, &sender));
                 next += 1;
             }
         });
     }
 
-    /// The next thing that comes.
+    /// Waits for the next event.
     pub fn next_event(&self) -> Event {
-        self.events.recv_timeout(PATIENCE).expect("something comes")
+        self.events.recv_timeout(STATE_TIMEOUT).expect("an event")
     }
 
-    /// The next request.
+    /// Waits for the next request, skipping other events.
     pub fn next_request(&self) -> ReceivedRequest {
         loop {
             if let Event::Frame(conn, parts) = self.next_event() {
@@ -362,7 +375,7 @@
         }
     }
 
-    /// The next request, if one has come.
+    /// Returns the next request, if one has been received.
     pub fn try_next_request(&self) -> Option<ReceivedRequest> {
         self.events.try_iter().find_map(|event| match event {
             Event::Frame(conn, parts) if parts[0] == "REQ" => {
@@ -372,12 +385,12 @@
         })
     }
 
-    /// All that has come by now.
+    /// Removes and returns the events received so far.
     pub fn received_events(&self) -> Vec<Event> {
         self.events.try_iter().collect()
     }
 
-    /// Ids of the requests that have come and weren't looked at.
+    /// Removes the events received so far, and returns the ids of the requests among them.
     pub fn received_request_ids(&self) -> Vec<String> {
         let id = |event| match event {
             Event::Frame(_, parts) if parts[0] == "REQ" => parts.into_iter().nth(1),
@@ -386,36 +399,38 @@
         self.received_events().into_iter().filter_map(id).collect()
     }
 
+    /// Writes bytes to a connection.
     pub fn write(&self, conn: usize, bytes: &[u8]) -> std::io::Result<()> {
         let stream = self.conns.lock().expect("not poisoned")[&conn].try_clone()?;
         (&stream).write_all(bytes)
     }
 
-    /// Answers a request with a body that names it.
-    pub fn serve(&self, asked: &ReceivedRequest) {
-        let body = format!("for {}", asked.id);
-        self.reply(asked, "DONE", "tell=cached,version=ab,stamp=1", body.as_bytes());
+    /// Answers a request successfully, with a body that contains its id.
+    pub fn serve(&self, request: &ReceivedRequest) {
+        let body = format!("for {}", request.id);
+        self.reply(request, "DONE", "tell=cached,version=ab,stamp=1", body.as_bytes());
     }
 
-    pub fn reply(&self, asked: &ReceivedRequest, word: &str, fields: &str, body: &[u8]) {
-        let frame = resp::frame(&[asked.id.as_bytes(), word.as_bytes(), fields.as_bytes(), body]);
-        self.write(asked.conn, &frame).expect("written");
+    /// Answers a request with a status, fields and a body.
+    pub fn reply(&self, request: &ReceivedRequest, status: &str, fields: &str, body: &[u8]) {
+        let frame = resp::frame(&[request.id.as_bytes(), status.as_bytes(), fields.as_bytes(), body]);
+        self.write(request.conn, &frame).expect("written");
     }
 
-    /// Closes a connection.
+    /// Shuts down the write half of a connection.
     pub fn close(&self, conn: usize) {
         let stream = self.conns.lock().expect("not poisoned").remove(&conn).expect("it is open");
         stream.shutdown(std::net::Shutdown::Write).expect("open");
     }
 
-    /// Ends a connection with a reset.
+    /// Resets a connection.
     pub fn reset(&self, conn: usize) {
         let stream = self.conns.lock().expect("not poisoned").remove(&conn).expect("it is open");
         reset(stream);
     }
 }
 
-fn read(conn: usize, mut stream: TcpStream, tell: &Sender<Event>) {
+fn read(conn: usize, mut stream: TcpStream, sender: &Sender<Event>) {
     let (mut decoder, mut buffer) = (resp::Decoder::default(), [0; 64 * 1024]);
     let was_reset = loop {
         match stream.read(&mut buffer) {
@@ -424,44 +439,46 @@
             Ok(bytes) => decoder.feed(&buffer[..bytes]),
         }
         while let Ok(Some(frame)) = decoder.next_frame() {
-            let words = frame.iter().map(|part| String::from_utf8_lossy(part).into_owned()).collect();
-            let _ = tell.send(Event::Frame(conn, words)); // The test may be over.
+            let parts = frame.iter().map(|part| String::from_utf8_lossy(part).into_owned()).collect();
+            let _ = sender.send(Event::Frame(conn, parts)); // The test may have ended.
         }
     };
-    let _ = tell.send(Event::Disconnected(conn, was_reset));
+    let _ = sender.send(Event::Disconnected(conn, was_reset));
 }
 
-/// Ends a connection with a reset: its reader holds another handle, so that dropping this one does nothing.
+/// Resets a connection. Dropping the stream would not close it, as the reader thread has another handle.
 fn reset(stream: TcpStream) {
     let socket = Socket::from(stream);
     socket.set_linger(Some(Duration::ZERO)).expect("set");
-    // A connect to no family dissolves the association, which with this linger is a reset.
+    // Connecting to AF_UNSPEC dissolves the association; with a zero linger time this resets the connection.
     let _ = rustix::net::connect_unspec(&socket);
 }
 
-/// A client's connection.
+/// A client connection.
 pub struct Client {
     pub stream: TcpStream,
     decoder: fastcgi::Decoder,
+    /// Answers by request number, and whether each is complete.
     answers: BTreeMap<u16, (String, bool)>,
 }
 
 impl Client {
+    /// Connects to a router.
     pub fn connect(router: &Router) -> Self {
         let stream = TcpStream::connect(&router.address).expect("it listens");
-        stream.set_read_timeout(Some(PATIENCE)).expect("set");
+        stream.set_read_timeout(Some(STATE_TIMEOUT)).expect("set");
         stream.set_nodelay(true).expect("set");
         Self { stream, decoder: fastcgi::Decoder::default(), answers: BTreeMap::new() }
     }
 
-    /// The bytes of a request of a class for an object, with an id of its own.
+    /// Encodes a request of a class for an object, with a timeout of 2900 ms.
     pub fn request_bytes(request: u16, class: &str, id: u64, object: u64, body: &[u8]) -> Vec<u8> {
         Self::request_bytes_with_timeout(2900, request, class, id, object, body)
     }
 
-    /// The same, of a client that waits so many milliseconds.
+    /// Encodes a request with the given timeout of the client.
     pub fn request_bytes_with_timeout(
-        wait_ms: u64,
+        timeout_ms: u64,
         request: u16,
         class: &str,
         id: u64,
@@ -474,7 +491,7 @@
         for (name, value) in [
             ("SCRIPT_NAME", path),
             ("HTTP_X_REQUEST_ID", format!("{id:016x}")),
-            ("HTTP_X_TIMEOUT_MS", wait_ms.to_string()),
+            ("HTTP_X_TIMEOUT_MS", timeout_ms.to_string()),
             ("HTTP_X_OBJECT", format!("{object:016x}")),
         ] {
             fastcgi::pair(&mut params, name.as_bytes(), value.as_bytes());
@@ -486,24 +503,25 @@
         out
     }
 
+    /// Sends a request for one fixed object.
     pub fn send_request(&mut self, request: u16, class: &str, id: u64) {
         let bytes = Self::request_bytes(request, class, id, 0xab, b"");
         self.stream.write_all(&bytes).expect("written");
     }
 
-    /// Stops waiting for a request.
+    /// Aborts a request.
     pub fn abort(&mut self, request: u16) {
         let mut out = Vec::new();
         fastcgi::record(&mut out, kind::ABORT, request, b"");
         self.stream.write_all(&out).expect("written");
     }
 
-    /// Leaves with a reset.
+    /// Resets the connection.
     pub fn reset(self) {
         reset(self.stream);
     }
 
-    /// The whole answer to a request; `None`: the connection has ended without one.
+    /// Waits for the complete answer to a request; `None` if the connection ends without one.
     pub fn answer(&mut self, request: u16) -> Option<String> {
         let mut buffer = [0; 64 * 1024];
         loop {
@@ -522,31 +540,33 @@
                 Ok(0) => return None,
                 Ok(bytes) => self.decoder.feed(&buffer[..bytes]),
                 Err(e) if e.kind() == ErrorKind::ConnectionReset => return None,
-                Err(e) => panic!("no answer and no end: {e}"),
+                Err(e) => panic!("neither an answer nor a close: {e}"),
             }
         }
     }
 
-    /// The status of the answer.
+    /// Waits for the answer to a request and returns its status code.
     pub fn status(&mut self, request: u16) -> u16 {
         let answer = self.answer(request).expect("an answer");
         answer["Status: ".len()..].split(' ').next().and_then(|status| status.parse().ok()).expect("a status")
     }
 
-    /// Whether the router ends the connection without a reset and without another byte.
+    /// Waits for data or a close, and returns whether the router closed the connection without a reset and
+    /// without sending more data.
     pub fn is_closed(&mut self) -> bool {
         matches!(self.stream.read(&mut [0; 64]), Ok(0))
     }
 }
 
-/// A notice board that answers when it is told to.
+/// A scripted discovery service.
 pub struct DiscoveryServer {
     pub address: String,
     listener: TcpListener,
 }
 
-/// A poll that is out.
+/// A connection of the router to the discovery service, on which a poll is outstanding.
 pub struct DiscoveryPoll {
+    /// The revision of the last event that the router has, according to the poll.
     pub last_revision: u64,
     pub stream: TcpStream,
 }
@@ -556,16 +576,16 @@
         Self::at("127.0.0.1:0")
     }
 
-    /// One at an address, as one that comes back.
+    /// Listens at a given address, such as that of a service that restarts.
     pub fn at(address: &str) -> Self {
         let listener = TcpListener::bind(address).expect("the port is free");
         Self { address: listener.local_addr().expect("bound").to_string(), listener }
     }
 
-    /// The next poll on a new connection.
+    /// Accepts a new connection and reads a poll from it.
     pub fn poll(&self) -> DiscoveryPoll {
         let (stream, _) = self.listener.accept().expect("it polls");
-        stream.set_read_timeout(Some(PATIENCE)).expect("set");
+        stream.set_read_timeout(Some(STATE_TIMEOUT)).expect("set");
         stream.set_nodelay(true).expect("set");
         let mut poll = DiscoveryPoll { last_revision: 0, stream };
         poll.read_next();
@@ -574,7 +594,7 @@
 }
 
 impl DiscoveryPoll {
-    /// Reads the next poll on the same connection; false if there is none, as it has ended.
+    /// Reads the next poll on the same connection. Returns false if the connection has ended.
     pub fn read_next(&mut self) -> bool {
         let mut line = Vec::new();
         while !line.ends_with(b"\r\n\r\n") {
@@ -585,17 +605,18 @@
             }
         }
         let text = String::from_utf8(line).expect("text");
-        let watch = text.split("watch=").nth(1).and_then(|rest| rest.split('&').next());
-        self.last_revision = watch.and_then(|watch| watch.parse().ok()).unwrap_or_else(|| panic!("{text}"));
+        let revision = text.split("watch=").nth(1).and_then(|rest| rest.split('&').next());
+        self.last_revision = revision.and_then(|text| text.parse().ok()).unwrap_or_else(|| panic!("{text}"));
         true
     }
 
-    /// The bytes of an answer.
+    /// Encodes a response with events.
     pub fn response_bytes(rev: u64, notices: &[String]) -> Vec<u8> {
         let body = format!(r#"{{"rev":{rev},"notices":[{}]}}"#, notices.join(","));
         format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len()).into_bytes()
     }
 
+    /// Sends a response with events.
     pub fn respond(&mut self, rev: u64, notices: &[String]) {
         self.stream.write_all(&Self::response_bytes(rev, notices)).expect("written");
     }
