--- a/tests/client_gone.rs
+++ b/tests/client_gone.rs
@@ -1,4 +1,5 @@
-//! A client that has left: nothing of its request is sent on or dialled for, whatever else the same wake brings.
+//! Clients that disconnect or abort: nothing is forwarded or dialled for their requests, whatever other
+//! events arrive in the same wake-up.
 
 mod rig;
 
@@ -13,9 +14,9 @@
     Resets,
 }
 
-const WAYS: [Leaves; 3] = [Leaves::Aborts, Leaves::Closes, Leaves::Resets];
+const ALL_WAYS: [Leaves; 3] = [Leaves::Aborts, Leaves::Closes, Leaves::Resets];
 
-/// It leaves; what must be kept so that it doesn't do more.
+/// Makes a client leave. Returns the client if its connection must stay open.
 fn leave(mut client: Client, how: Leaves) -> Option<Client> {
     match how {
         Leaves::Aborts => client.abort(1),
@@ -28,9 +29,9 @@
     Some(client)
 }
 
-/// Whether anybody has connected to an endpoint. Connections are taken in their order, so that the test's own, which is
-/// known by what it says, has none before it.
-fn met(endpoint: &Endpoint) -> bool {
+/// Returns whether the router has connected to an endpoint. The endpoint numbers connections in order, so it
+/// checks whether the test's own connection, which is recognized by its frame, is the first one.
+fn was_dialled(endpoint: &Endpoint) -> bool {
     let mut own = std::net::TcpStream::connect(&endpoint.address).expect("it listens");
     own.write_all(b"*1\r\n$3\r\nown\r\n").expect("written");
     loop {
@@ -42,112 +43,113 @@
     }
 }
 
-/// Two endpoints, and that of them which got the first request.
-struct Two {
+/// Two endpoints, one of which is the home of the requested object.
+struct EndpointPair {
     one: Endpoint,
     other: Endpoint,
 }
 
-impl Two {
+impl EndpointPair {
     fn new() -> Self {
         Self { one: Endpoint::new(), other: Endpoint::new() }
     }
 
-    fn site(&self) -> RouterSetup {
+    fn setup(&self) -> RouterSetup {
         RouterSetup::new(&[("e-1", &self.one), ("e-2", &self.other)])
     }
 
-    /// Takes a request at whichever endpoint it went to: that one, the request, the other one.
-    fn take(&self) -> (&Endpoint, rig::ReceivedRequest, &Endpoint) {
-        let mut came = None;
+    /// Waits for a request at either endpoint. Returns that endpoint, the request and the other endpoint.
+    fn next_request(&self) -> (&Endpoint, rig::ReceivedRequest, &Endpoint) {
+        let mut received = None;
         wait_until("a request", || {
             for (here, there) in [(&self.one, &self.other), (&self.other, &self.one)] {
                 for event in here.received_events() {
                     if let Event::Frame(conn, parts) = event {
                         let (id, fields) = (parts[1].clone(), parts[2].clone());
-                        came = Some((here, rig::ReceivedRequest { conn, id, fields }, there));
+                        received = Some((here, rig::ReceivedRequest { conn, id, fields }, there));
                     }
                 }
             }
-            came.is_some()
+            received.is_some()
         });
-        came.expect("one came")
+        received.expect("a request")
     }
 }
 
 #[test]
-fn a_failed_attempt_and_its_clients_leave_in_one_wake_are_followed_by_no_dial_and_no_retry() {
-    for how in WAYS {
-        let two = Two::new();
-        let router = Router::start(&format!("retry-{how:?}"), &two.site());
+fn a_failed_attempt_is_not_retried_if_the_client_leaves_in_the_same_wake_up() {
+    for how in ALL_WAYS {
+        let endpoints = EndpointPair::new();
+        let router = Router::start(&format!("retry-{how:?}"), &endpoints.setup());
         let mut client = Client::connect(&router);
         client.send_request(1, "page", 1);
-        let (here, asked, there) = two.take();
+        let (here, received, there) = endpoints.next_request();
         router.pause();
-        here.reply(&asked, "BROKE", "-", b"");
+        here.reply(&received, "BROKE", "-", b"");
         let _kept = leave(client, how);
         router.resume();
-        wait_until("it is given up", || router.counter("aborted") == 1);
-        assert!(!met(there), "{how:?}: dialled for a client that had left");
+        wait_until("the request is aborted", || router.counter("aborted") == 1);
+        assert!(!was_dialled(there), "{how:?}: dialled for a client that had left");
         router.terminate();
         assert_eq!(here.received_request_ids(), [""; 0], "{how:?}");
     }
 }
 
 #[test]
-fn a_timer_that_is_due_in_the_wake_of_the_leave_dials_for_nobody_though_another_client_is_heard_first() {
-    for how in WAYS {
-        let two = Two::new();
-        let router = Router::start(&format!("timer-{how:?}"), &two.site());
-        // Its connection is the older one, so that it is heard before the one that leaves.
+fn a_timer_due_in_the_wake_up_in_which_a_client_leaves_causes_no_dial_even_if_another_client_is_served_first()
+{
+    for how in ALL_WAYS {
+        let endpoints = EndpointPair::new();
+        let router = Router::start(&format!("timer-{how:?}"), &endpoints.setup());
+        // This connection is older than the one that leaves, so it is served first.
         let mut other = Client::connect(&router);
         other.send_request(1, "/alive", 0);
         assert_eq!(other.status(1), 200);
         let mut client = Client::connect(&router);
         client.send_request(1, "page", 1);
-        let (_, _, there) = two.take();
+        let (_, _, there) = endpoints.next_request();
         router.pause();
-        // By then its attempt is taken for lost, and another endpoint is due to be asked.
+        // After this time the attempt counts as lost, and a retry at the other endpoint is due.
         sleep_ms(2000);
         other.send_request(2, "/alive", 0);
         let _kept = leave(client, how);
         router.resume();
         assert_eq!(other.status(2), 200);
-        wait_until("it is given up", || router.counter("aborted") == 1);
-        assert!(!met(there), "{how:?}: dialled for a client that had left");
+        wait_until("the request is aborted", || router.counter("aborted") == 1);
+        assert!(!was_dialled(there), "{how:?}: dialled for a client that had left");
         router.terminate();
     }
 }
 
 #[test]
-fn a_dial_that_comes_up_in_the_wake_of_the_leave_carries_nothing() {
-    for how in WAYS {
+fn a_dial_that_completes_in_the_wake_up_in_which_the_client_leaves_carries_nothing() {
+    for how in ALL_WAYS {
         let mut late = Endpoint::with_full_backlog();
-        let mut site = RouterSetup::new(&[("e-1", &late)]);
-        site.limits = r#""MostTries":9,"Cancelling":true,"DialTimeoutMs":9000.0"#;
-        let router = Router::start(&format!("dial-{how:?}"), &site);
+        let mut setup = RouterSetup::new(&[("e-1", &late)]);
+        setup.limits = r#""MostTries":9,"Cancelling":true,"DialTimeoutMs":9000.0"#;
+        let router = Router::start(&format!("dial-{how:?}"), &setup);
         let mut client = Client::connect(&router);
         client.send_request(1, "page", 1);
-        wait_until("it dials", || router.counter("dials") == 1);
+        wait_until("a dial", || router.counter("dials") == 1);
         router.pause();
         let _kept = leave(client, how);
-        // The system connects by itself, also for a process that is stopped.
+        // The kernel completes the connection, even while the process is stopped.
         late.accept_connections();
         assert_eq!(late.next_event(), Event::Connected(0));
         router.resume();
-        wait_until("it is given up", || router.counter("aborted") == 1);
-        assert_eq!(router.counter("dials"), 1, "{how:?}: nothing is dialled anew");
+        wait_until("the request is aborted", || router.counter("aborted") == 1);
+        assert_eq!(router.counter("dials"), 1, "{how:?}: no further dial");
         router.terminate();
         assert_eq!(late.received_request_ids(), [""; 0], "{how:?}");
     }
 }
 
 #[test]
-fn of_a_burst_that_leaves_at_once_only_what_is_still_wanted_is_sent() {
+fn if_most_clients_of_a_burst_leave_at_once_only_the_remaining_request_is_sent() {
     let mut late = Endpoint::with_full_backlog();
-    let mut site = RouterSetup::new(&[("e-1", &late)]);
-    site.limits = r#""MostTries":9,"Cancelling":true,"DialTimeoutMs":9000.0"#;
-    let router = Router::start("burst", &site);
+    let mut setup = RouterSetup::new(&[("e-1", &late)]);
+    setup.limits = r#""MostTries":9,"Cancelling":true,"DialTimeoutMs":9000.0"#;
+    let router = Router::start("burst", &setup);
     let mut stays = Client::connect(&router);
     stays.send_request(1, "page", 1);
     let mut clients: Vec<Client> = (0..9).map(|_| Client::connect(&router)).collect();
@@ -156,7 +158,7 @@
             client.send_request(request, "page", at * 100 + u64::from(request));
         }
     }
-    wait_until("all are taken", || router.counter("taken") == 181);
+    wait_until("all requests are read", || router.counter("taken") == 181);
     router.pause();
     for (at, client) in clients.into_iter().enumerate() {
         leave(client, [Leaves::Closes, Leaves::Resets][at % 2]);
@@ -164,9 +166,9 @@
     late.accept_connections();
     assert_eq!(late.next_event(), Event::Connected(0));
     router.resume();
-    let asked = late.next_request();
-    assert_eq!(asked.id, format!("{:016x}", 1));
-    late.serve(&asked);
+    let received = late.next_request();
+    assert_eq!(received.id, format!("{:016x}", 1));
+    late.serve(&received);
     assert_eq!(stays.status(1), 200);
     let log = router.terminate();
     assert!(log.contains("aborted=180 "), "{log}");
@@ -174,7 +176,7 @@
 }
 
 #[test]
-fn what_is_asked_and_left_before_the_router_looks_is_neither_sent_nor_dialled_for() {
+fn a_request_whose_client_leaves_before_it_is_read_causes_no_dial() {
     for how in [Leaves::Closes, Leaves::Resets] {
         let endpoint = Endpoint::new();
         let router = Router::start(&format!("breath-{how:?}"), &RouterSetup::new(&[("e-1", &endpoint)]));
@@ -185,7 +187,7 @@
             assert_eq!(one.status(1), 200);
         }
         router.pause();
-        // With bodies: more than a small read brings.
+        // The bodies make this more data than one small read returns.
         for request in 1..=30 {
             let bytes = Client::request_bytes(request, "page", request.into(), 0xab, &[1; 4000]);
             client.stream.write_all(&bytes).expect("written");
@@ -196,7 +198,7 @@
         assert_eq!(other.status(2), 200);
         other.send_request(3, "/alive", 0);
         assert_eq!(other.status(3), 200);
-        assert!(!met(&endpoint), "{how:?}");
+        assert!(!was_dialled(&endpoint), "{how:?}");
         assert_eq!(router.counter("attempts"), 0, "{how:?}");
         router.terminate();
     }
--- a/tests/closing.rs
+++ b/tests/closing.rs
@@ -1,30 +1,31 @@
-//! Connections to endpoints that end: idle ones closed from either side, late dials, ids that come back.
+//! Connections to endpoints that end: idle connections closed by either side, late dials, reused request ids.
 
 mod rig;
 
 use rig::{sleep_ms, wait_until, Client, Endpoint, Event, Router, RouterSetup};
 
-/// A site whose idle connections end soon: the router closes them after 0.8 of this.
+/// Idle timeout of connections in the setup; the router closes them after 0.8 of this.
 const IDLE_MS: u64 = 500;
 
-fn idle_site(endpoint: &Endpoint) -> RouterSetup {
-    let mut site = RouterSetup::new(&[("e-1", endpoint)]);
-    site.limits = r#""MostTries":4,"Cancelling":true,"ConnIdleMs":500.0"#;
-    site
+fn idle_setup(endpoint: &Endpoint) -> RouterSetup {
+    let mut setup = RouterSetup::new(&[("e-1", endpoint)]);
+    setup.limits = r#""MostTries":4,"Cancelling":true,"ConnIdleMs":500.0"#;
+    setup
 }
 
-/// Asks once and has it served; the connection to the endpoint rests then.
-fn warm(router: &Router, endpoint: &Endpoint) -> (Client, usize) {
+/// Has one request served, which leaves an idle connection to the endpoint. Returns the client and the
+/// connection.
+fn open_idle_connection(router: &Router, endpoint: &Endpoint) -> (Client, usize) {
     let mut client = Client::connect(router);
     client.send_request(1, "page", 0x1000);
-    let asked = endpoint.next_request();
-    endpoint.serve(&asked);
+    let received = endpoint.next_request();
+    endpoint.serve(&received);
     assert_eq!(client.status(1), 200);
-    (client, asked.conn)
+    (client, received.conn)
 }
 
-/// Waits until a connection has ended on the router's side; whether by a reset.
-fn down(endpoint: &Endpoint, conn: usize) -> bool {
+/// Waits until the router has ended a connection. Returns whether it was reset.
+fn wait_for_disconnect(endpoint: &Endpoint, conn: usize) -> bool {
     loop {
         if let Event::Disconnected(which, reset) = endpoint.next_event() {
             if which == conn {
@@ -35,24 +36,24 @@
 }
 
 #[test]
-fn half_a_line_that_crosses_the_close_of_an_idle_connection_is_not_answered_with_a_reset() {
+fn half_a_frame_that_crosses_the_close_of_an_idle_connection_does_not_cause_a_reset() {
     let endpoint = Endpoint::new();
-    let router = Router::start("idleline", &idle_site(&endpoint));
-    let (_client, conn) = warm(&router, &endpoint);
-    assert!(!down(&endpoint, conn), "closed as it is idle");
-    // A reset would have come back by the second write.
+    let router = Router::start("idleline", &idle_setup(&endpoint));
+    let (_client, conn) = open_idle_connection(&router, &endpoint);
+    assert!(!wait_for_disconnect(&endpoint, conn), "closed without a reset");
+    // After a reset, the second write would fail.
     for _ in 0..3 {
-        endpoint.write(conn, b"*4\r\n$16\r\n0000").expect("it is still read");
+        endpoint.write(conn, b"*4\r\n$16\r\n0000").expect("the router still reads");
     }
     assert!(router.terminate().contains("endpoint_faults=0"));
 }
 
 #[test]
-fn a_request_in_the_wake_in_which_an_idle_connection_ends_is_sent_once_and_served() {
+fn requests_received_in_the_wake_up_in_which_an_idle_connection_ends_are_sent_once_and_served() {
     for who in ["the router", "the endpoint", "both"] {
         let endpoint = Endpoint::new();
-        let router = Router::start("idlecross", &idle_site(&endpoint));
-        let (mut client, conn) = warm(&router, &endpoint);
+        let router = Router::start("idlecross", &idle_setup(&endpoint));
+        let (mut client, conn) = open_idle_connection(&router, &endpoint);
         router.pause();
         if who != "the router" {
             endpoint.close(conn);
@@ -70,21 +71,22 @@
         assert_eq!((client.status(2), client.status(3)), (200, 200), "{who}");
         let log = router.terminate();
         assert!(log.contains("served=3 ") && log.contains("attempt_reset=0 "), "{who}: {log}");
-        assert_eq!(endpoint.received_request_ids(), [""; 0], "{who}: none twice");
+        assert_eq!(endpoint.received_request_ids(), [""; 0], "{who}: none is sent twice");
     }
 }
 
 #[test]
-fn an_answer_to_what_was_given_up_is_never_taken_for_that_of_a_later_request() {
+fn an_answer_to_an_aborted_request_is_never_used_for_a_later_request_with_the_same_id() {
     let endpoint = Endpoint::new();
     let router = Router::start("reused", &RouterSetup::new(&[("e-1", &endpoint)]));
-    let (mut client, _) = warm(&router, &endpoint);
+    let (mut client, _) = open_idle_connection(&router, &endpoint);
     client.send_request(2, "page", 7);
     let first = endpoint.next_request();
     client.abort(2);
-    // The machine is told; then the same id comes again, and both answers are there in one wake, the late one first.
+    // The endpoint is notified of the abort. Then the same id is used again, and both answers arrive in one
+    // wake-up, the late one first.
     wait_until(
-        "it is given up",
+        "the attempt is cancelled",
         || matches!(endpoint.next_event(), Event::Frame(_, parts) if parts[0] == "STOP"),
     );
     client.send_request(3, "page", 7);
@@ -95,18 +97,18 @@
     endpoint.reply(&second, "DONE", "tell=cached,version=ab,stamp=1", b"its own");
     router.resume();
     assert!(client.answer(3).is_some_and(|answer| answer.ends_with("its own")));
-    assert_ne!(first.conn, second.conn, "where the late one can't be taken for it");
+    assert_ne!(first.conn, second.conn, "on another connection, so that the answers can't be confused");
     router.terminate();
 }
 
 #[test]
-fn a_connection_that_is_up_late_or_never_leaves_its_request_to_another_endpoint() {
+fn a_request_is_served_by_another_endpoint_if_a_connection_is_established_late_or_never() {
     for opens in [true, false] {
         let (mut late, good) = (Endpoint::with_full_backlog(), Endpoint::new());
-        let mut site = RouterSetup::new(&[("e-1", &late), ("e-2", &good)]);
-        site.limits = r#""MostTries":6,"Cancelling":true,"DialTimeoutMs":300.0"#;
-        let router = Router::start("uplate", &site);
-        // Whichever endpoint is an object's home, some of these begin at the one that is late.
+        let mut setup = RouterSetup::new(&[("e-1", &late), ("e-2", &good)]);
+        setup.limits = r#""MostTries":6,"Cancelling":true,"DialTimeoutMs":300.0"#;
+        let router = Router::start("uplate", &setup);
+        // Some of these objects have the late endpoint as their home.
         let mut client = Client::connect(&router);
         let all = 8;
         for request in 1..=all {
@@ -123,13 +125,17 @@
             late.accept_connections();
         }
         let log = router.terminate();
-        assert!(!log.contains(" dials_failed=0 "), "some were at the late one first: {log}");
-        assert_eq!(late.received_request_ids(), [""; 0], "nothing is sent once it is served elsewhere");
+        assert!(!log.contains(" dials_failed=0 "), "some were sent to the late endpoint first: {log}");
+        assert_eq!(
+            late.received_request_ids(),
+            [""; 0],
+            "nothing is sent to it after another endpoint served"
+        );
     }
 }
 
 #[test]
-fn a_frame_that_cannot_be_read_or_never_ends_costs_its_connection_and_the_attempt_may_have_run() {
+fn a_malformed_or_endless_frame_closes_its_connection_and_the_attempt_may_have_run() {
     let bad: [&[u8]; 4] = [
         b"*4\r\n$99999999\r\n",
         b"GET / HTTP/1.1\r\n\r\n",
@@ -139,8 +145,8 @@
     for (at, bytes) in bad.iter().enumerate() {
         let endpoint = Endpoint::new();
         let router = Router::start("badframe", &RouterSetup::new(&[("e-1", &endpoint)]));
-        let (mut client, _) = warm(&router, &endpoint);
-        // Fragile first: it is never sent again. Then one that may be, and is.
+        let (mut client, _) = open_idle_connection(&router, &endpoint);
+        // A fragile request is never sent again; a retryable one is.
         client.send_request(2, "swap", 2);
         let swap = endpoint.next_request();
         endpoint.write(swap.conn, bytes).expect("written");
@@ -154,6 +160,6 @@
         endpoint.serve(&again);
         assert_eq!(client.status(3), 200);
         router.terminate();
-        assert_eq!(endpoint.received_request_ids(), [""; 0], "{at}: the swap went out once");
+        assert_eq!(endpoint.received_request_ids(), [""; 0], "{at}: the fragile request was sent once");
     }
 }
--- a/tests/floods.rs
+++ b/tests/floods.rs
@@ -1,4 +1,5 @@
-//! Floods and bad clients: only the guilty connection ends, others are served, memory and sockets stay bounded.
+//! Floods and malformed input from clients: only the offending connection is closed, others are served, and
+//! memory and descriptors stay bounded.
 
 mod rig;
 
@@ -6,22 +7,22 @@
 use rig::{wait_until, Client, Endpoint, Event, Router, RouterSetup};
 use std::io::Write;
 
-/// A request that was begun, with these bytes behind it.
-fn begun(request: u16, role: u8, behind: &[(u8, Vec<u8>)]) -> Vec<u8> {
+/// Encodes the beginning of a request, followed by these records.
+fn begin_request(request: u16, role: u8, records: &[(u8, Vec<u8>)]) -> Vec<u8> {
     let mut out = Vec::new();
     fastcgi::record(&mut out, kind::BEGIN, request, &[0, role, 1, 0, 0, 0, 0, 0]);
-    behind.iter().for_each(|(what, content)| fastcgi::record(&mut out, *what, request, content));
+    records.iter().for_each(|(what, content)| fastcgi::record(&mut out, *what, request, content));
     out
 }
 
 #[test]
-fn what_cannot_be_read_costs_its_own_connection_alone() {
+fn malformed_input_closes_only_its_own_connection() {
     let endpoint = Endpoint::new();
-    let mut site = RouterSetup::new(&[("e-1", &endpoint)]);
-    site.limits = r#""MostTries":1,"Cancelling":true"#;
-    let router = Router::start("foreign", &site);
+    let mut setup = RouterSetup::new(&[("e-1", &endpoint)]);
+    setup.limits = r#""MostTries":1,"Cancelling":true"#;
+    let router = Router::start("foreign", &setup);
     let cut = &Client::request_bytes(1, "page", 1, 1, b"")[..30];
-    let twice = [begun(1, 1, &[]), begun(1, 1, &[])].concat();
+    let twice = [begin_request(1, 1, &[]), begin_request(1, 1, &[])].concat();
     let endless: Vec<_> = (0..3).map(|_| (kind::PARAMS, vec![1; 8000])).collect();
     let bad: [(&str, Vec<u8>); 8] = [
         ("HTTP", b"GET / HTTP/1.1\r\nHost: x\r\n\r\n".to_vec()),
@@ -29,27 +30,32 @@
         ("another version", vec![9; 64]),
         ("a beginning cut short", vec![1, kind::BEGIN, 0, 1, 0, 2, 0, 0, 0, 1]),
         ("a request that begins twice", twice),
-        ("parameters without end", begun(1, 1, &endless)),
-        ("a body before its parameters", begun(1, 1, &[(kind::STDIN, vec![1; 9])])),
+        ("parameters without end", begin_request(1, 1, &endless)),
+        ("a body before its parameters", begin_request(1, 1, &[(kind::STDIN, vec![1; 9])])),
         (
             "a pair of an impossible length",
-            begun(1, 1, &[(kind::PARAMS, vec![255; 40]), (kind::PARAMS, vec![]), (kind::STDIN, vec![])]),
+            begin_request(
+                1,
+                1,
+                &[(kind::PARAMS, vec![255; 40]), (kind::PARAMS, vec![]), (kind::STDIN, vec![])],
+            ),
         ),
     ];
     let faults = bad.len() as u64;
     let mut good = Client::connect(&router);
     for (at, (what, bytes)) in (1..).zip(bad) {
-        // A request is out on the bad connection as it goes wrong, and another one on a good connection.
-        let mut guilty = Client::connect(&router);
-        guilty.send_request(2, "page", 100 + u64::from(at));
+        // A request is outstanding on the connection that sends malformed input, and another one on a good
+        // connection.
+        let mut offender = Client::connect(&router);
+        offender.send_request(2, "page", 100 + u64::from(at));
         let lost = endpoint.next_request();
         good.send_request(at, "page", 200 + u64::from(at));
         let kept = endpoint.next_request();
-        guilty.stream.write_all(&bytes).expect("written");
-        // The request that came whole before is owed its answer, whatever its client sent behind it.
-        assert_eq!(guilty.status(2), 502, "{what}: it may have run");
-        assert!(guilty.is_closed(), "{what}: half-closed, not reset");
-        // What was out for it is settled by its true progress: it may run, and is called off.
+        offender.stream.write_all(&bytes).expect("written");
+        // The complete request before the malformed input must be answered.
+        assert_eq!(offender.status(2), 502, "{what}: the request may have run");
+        assert!(offender.is_closed(), "{what}: half-closed, not reset");
+        // Its attempt may run, and is cancelled.
         wait_until(
             what,
             || matches!(endpoint.next_event(), Event::Frame(_, parts) if parts == ["STOP", &lost.id]),
@@ -63,22 +69,22 @@
     let log = router.terminate();
     assert_eq!(rig::counter_in(&log, "client_faults"), faults, "{log}");
     assert_eq!((rig::counter_in(&log, "panics"), rig::counter_in(&log, "failed")), (0, faults));
-    assert_eq!(rig::counter_in(&log, "aborted"), 0, "each of them has its answer");
+    assert_eq!(rig::counter_in(&log, "aborted"), 0, "each of them was answered");
 }
 
 #[test]
-fn much_at_once_and_gone_is_forgotten_and_others_are_served_meanwhile() {
+fn resources_of_disconnected_flooding_clients_are_released_and_others_are_served_meanwhile() {
     let endpoint = Endpoint::new();
-    let mut site = RouterSetup::new(&[("e-1", &endpoint)]);
-    (site.memory_mb, site.sockets) = (32, 256);
-    let router = Router::start("gone", &site);
+    let mut setup = RouterSetup::new(&[("e-1", &endpoint)]);
+    (setup.memory_mb, setup.sockets) = (32, 256);
+    let router = Router::start("gone", &setup);
     let mut good = Client::connect(&router);
     for round in 1..=8_u16 {
         let flood: Vec<Client> = (0..60)
             .map(|at: u64| {
                 let mut client = Client::connect(&router);
                 let mut bytes = Vec::new();
-                // Half of each connection's requests are never whole, with all that a body may have.
+                // Half of the requests of each connection are incomplete, with large bodies.
                 for request in 1..=20 {
                     let id = u64::from(round) << 32 | at << 16 | u64::from(request);
                     let whole = Client::request_bytes(request, "page", id, id, &[7; 40_000]);
@@ -88,38 +94,38 @@
                     }
                 }
                 client.stream.set_nonblocking(true).expect("set");
-                let _ = client.stream.write(&bytes); // As much as the system takes.
+                let _ = client.stream.write(&bytes); // As much as the kernel accepts.
                 client
             })
             .collect();
         drop(flood);
         good.send_request(round, "page", u64::from(round));
         loop {
-            let asked = endpoint.next_request();
-            if asked.id == format!("{:016x}", round) {
-                endpoint.serve(&asked);
+            let received = endpoint.next_request();
+            if received.id == format!("{:016x}", round) {
+                endpoint.serve(&received);
                 break;
             }
         }
         assert_eq!(good.status(round), 200);
     }
-    wait_until("nothing of it is kept", || router.open_descriptors() < 40);
+    wait_until("the descriptors are released", || router.open_descriptors() < 40);
     assert!(router.resident_bytes() < 32 << 20, "{}", router.resident_bytes());
     assert_eq!(rig::counter_in(&router.terminate(), "panics"), 0);
 }
 
 #[test]
-fn clients_that_finish_nothing_leave_room_for_those_that_do() {
+fn clients_that_send_no_complete_request_leave_room_for_others() {
     let endpoint = Endpoint::new();
-    let mut site = RouterSetup::new(&[("e-1", &endpoint)]);
-    site.sockets = 96;
-    let router = Router::start("slow", &site);
+    let mut setup = RouterSetup::new(&[("e-1", &endpoint)]);
+    setup.sockets = 96;
+    let router = Router::start("slow", &setup);
     let half = Client::request_bytes(1, "page", 1, 1, b"");
-    // Twice as many as there is room for; some say nothing, some a part of a request.
+    // Twice as many connections as the router has room for; some send nothing, some a part of a request.
     let slow: Vec<Client> = (0..120)
         .map(|at| {
             let mut client = Client::connect(&router);
-            let _ = client.stream.write(&half[..at % 40]); // It may have been let go.
+            let _ = client.stream.write(&half[..at % 40]); // The connection may have been shed.
             client
         })
         .collect();
@@ -135,7 +141,7 @@
 }
 
 #[test]
-fn a_body_that_is_too_big_is_failed_at_once_and_the_connection_serves_on() {
+fn a_request_with_a_too_large_body_fails_at_once_and_its_connection_stays_usable() {
     let endpoint = Endpoint::new();
     let router = Router::start("bigbody", &RouterSetup::new(&[("e-1", &endpoint)]));
     let mut client = Client::connect(&router);
@@ -147,7 +153,7 @@
     for _ in 0..2 {
         client.stream.write_all(&part).expect("written");
     }
-    assert_eq!(client.status(1), 502, "before its end, which may never come");
+    assert_eq!(client.status(1), 502, "before the end of the body, which may never arrive");
     for _ in 0..20 {
         client.stream.write_all(&part).expect("written");
     }
@@ -158,20 +164,20 @@
 }
 
 #[test]
-fn a_request_is_answered_though_what_comes_with_it_in_one_read_cannot_be_read() {
+fn a_request_is_answered_even_if_malformed_input_follows_it_in_the_same_read() {
     let endpoint = Endpoint::new();
     let router = Router::start("onebreath", &RouterSetup::new(&[("e-1", &endpoint)]));
-    for junk in [&b"GET / HTTP/1.1\r\n\r\n"[..], &begun(2, 1, &[(kind::STDIN, vec![1; 9])])] {
-        let mut guilty = Client::connect(&router);
+    for junk in [&b"GET / HTTP/1.1\r\n\r\n"[..], &begin_request(2, 1, &[(kind::STDIN, vec![1; 9])])] {
+        let mut offender = Client::connect(&router);
         let both = [&Client::request_bytes(1, "page", 1, 1, b""), junk].concat();
-        guilty.stream.write_all(&both).expect("written");
-        assert_eq!(guilty.status(1), 502, "failed: nothing more is heard of its client");
-        assert!(guilty.is_closed(), "half-closed, not reset");
+        offender.stream.write_all(&both).expect("written");
+        assert_eq!(offender.status(1), 502, "failed: nothing more is read from this client");
+        assert!(offender.is_closed(), "half-closed, not reset");
     }
     assert_eq!(rig::counter_in(&router.terminate(), "client_faults"), 2);
     assert_eq!(
         endpoint.received_request_ids(),
         [""; 0],
-        "nothing is sent for a client that is about to be let go of"
+        "nothing is sent for a client whose connection is about to be closed"
     );
 }
--- a/tests/watch.rs
+++ b/tests/watch.rs
@@ -1,4 +1,5 @@
-//! The discovery watch: what its answers may bring, and what a drain or a purge crosses.
+//! The discovery watch: malformed, repeated and late responses, and drains and purges that arrive together
+//! with other events.
 
 mod rig;
 
@@ -9,134 +10,158 @@
 };
 use std::io::Write;
 
-fn watched(board: &DiscoveryServer, endpoints: &[(&'static str, &Endpoint)]) -> RouterSetup {
-    let mut site = RouterSetup::new(endpoints);
-    site.board = board.address.clone();
-    site
+fn setup_with_discovery(discovery: &DiscoveryServer, endpoints: &[(&'static str, &Endpoint)]) -> RouterSetup {
+    let mut setup = RouterSetup::new(endpoints);
+    setup.discovery = discovery.address.clone();
+    setup
 }
 
-fn purge(rev: u64, object: u64) -> String {
+/// A purge event for an object, with the current time.
+fn purge_event_json(rev: u64, object: u64) -> String {
     let ms =
         std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).expect("after 1970").as_millis();
     format!(r#"{{"rev":{rev},"flush":{{"asset":"{object:016x}","ms":{ms}}}}}"#)
 }
 
 #[test]
-fn what_waits_when_a_purge_comes_leaves_with_the_bound_of_the_purge() {
-    let (board, end) = (DiscoveryServer::new(), Endpoint::new());
+fn an_attempt_queued_when_a_purge_arrives_is_sent_with_the_bound_of_the_purge() {
+    let (discovery, endpoint) = (DiscoveryServer::new(), Endpoint::new());
     let path = std::path::Path::new(env!("CARGO_TARGET_TMPDIR")).join("purged.scm");
     std::fs::write(&path, "(frostturn (addresses (names checked)))").expect("written");
-    let mut site = watched(&board, &[("e-1", &end)]);
-    site.options = vec!["--operator".into(), path.display().to_string()];
-    let router = Router::start("purgequeue", &site);
-    let mut poll = board.poll();
+    let mut setup = setup_with_discovery(&discovery, &[("e-1", &endpoint)]);
+    setup.options = vec!["--operator".into(), path.display().to_string()];
+    let router = Router::start("purgequeue", &setup);
+    let mut poll = discovery.poll();
     let mut client = Client::connect(&router);
     client.send_request(1, "page", 1);
-    // It waits for the greeting's answer; meanwhile its object is purged.
+    // The attempt waits for the response to the greeting; meanwhile its object is purged.
     let mut greeting = None;
     wait_until("a greeting", || {
-        for event in end.received_events() {
+        for event in endpoint.received_events() {
             if let Event::Frame(conn, parts) = event {
                 greeting = Some((conn, parts[1].clone()));
             }
         }
         greeting.is_some()
     });
-    let (conn, tag) = greeting.expect("it greets");
-    poll.respond(2, &[purge(2, 0xab)]);
-    wait_until("the purge is heard", || router.counter("purges") == 1);
-    end.write(conn, &resp::frame(&[tag.as_bytes(), b"FIT", b"name=e-1", b""])).expect("written");
-    let asked = end.next_request();
-    assert!(asked.fields.contains("newer="), "an older copy would do: {}", asked.fields);
-    end.serve(&asked);
+    let (conn, tag) = greeting.expect("a greeting");
+    poll.respond(2, &[purge_event_json(2, 0xab)]);
+    wait_until("the purge is applied", || router.counter("purges") == 1);
+    endpoint.write(conn, &resp::frame(&[tag.as_bytes(), b"FIT", b"name=e-1", b""])).expect("written");
+    let received = endpoint.next_request();
+    assert!(received.fields.contains("newer="), "an older copy would be accepted: {}", received.fields);
+    endpoint.serve(&received);
     assert_eq!(client.status(1), 200);
     router.terminate();
 }
 
 #[test]
-fn a_purge_in_the_wake_of_a_request_of_a_retry_or_of_a_late_answer_binds_what_is_sent() {
-    let (board, end) = (DiscoveryServer::new(), Endpoint::new());
-    let router = Router::start("purgewake", &watched(&board, &[("e-1", &end)]));
-    let mut poll = board.poll();
+fn a_purge_in_the_same_wake_up_as_a_request_or_a_failed_attempt_applies_to_what_is_sent() {
+    let (discovery, endpoint) = (DiscoveryServer::new(), Endpoint::new());
+    let router = Router::start("purgewake", &setup_with_discovery(&discovery, &[("e-1", &endpoint)]));
+    let mut poll = discovery.poll();
     let mut client = Client::connect(&router);
     client.send_request(1, "page", 1);
-    let first = end.next_request();
+    let first = endpoint.next_request();
     assert!(!first.fields.contains("newer="));
     router.pause();
-    end.reply(&first, "BROKE", "-", b"");
-    poll.respond(2, &[purge(2, 0xab)]);
+    endpoint.reply(&first, "BROKE", "-", b"");
+    poll.respond(2, &[purge_event_json(2, 0xab)]);
     client.send_request(2, "page", 2);
     router.resume();
     for _ in 0..2 {
-        let asked = end.next_request();
-        assert!(asked.fields.contains("newer="), "{}", asked.fields);
-        end.serve(&asked);
+        let received = endpoint.next_request();
+        assert!(received.fields.contains("newer="), "{}", received.fields);
+        endpoint.serve(&received);
     }
     assert_eq!((client.status(1), client.status(2)), (200, 200));
     router.terminate();
 }
 
 #[test]
-fn a_drain_in_the_wake_of_a_send_or_a_retry_keeps_both_from_the_endpoint_that_leaves() {
-    let board = DiscoveryServer::new();
-    let ends = [("e-1", Endpoint::new()), ("e-2", Endpoint::new())];
-    let router =
-        Router::start("drainwake", &watched(&board, &[(ends[0].0, &ends[0].1), (ends[1].0, &ends[1].1)]));
-    let mut poll = board.poll();
+fn a_drain_in_the_same_wake_up_as_a_request_or_a_failed_attempt_keeps_both_from_the_leaving_endpoint() {
+    let discovery = DiscoveryServer::new();
+    let endpoints = [("e-1", Endpoint::new()), ("e-2", Endpoint::new())];
+    let router = Router::start(
+        "drainwake",
+        &setup_with_discovery(
+            &discovery,
+            &[(endpoints[0].0, &endpoints[0].1), (endpoints[1].0, &endpoints[1].1)],
+        ),
+    );
+    let mut poll = discovery.poll();
     let mut client = Client::connect(&router);
     client.send_request(1, "page", 1);
-    let (home, asked) = next_request_at_any(&ends);
-    // The home leaves while a request for it comes: that goes to the other one, which has not been dialled yet.
+    let (home, received) = next_request_at_any(&endpoints);
+    // The home leaves as a request for it arrives: the request goes to the other endpoint, not dialled
+    // before.
     router.pause();
     poll.respond(
         2,
-        &[pool_notice_json(2, false, &endpoint_json(ends[home].0, &ends[home].1.address, "leaving"))],
+        &[pool_notice_json(
+            2,
+            false,
+            &endpoint_json(endpoints[home].0, &endpoints[home].1.address, "leaving"),
+        )],
     );
     client.send_request(2, "page", 2);
     router.resume();
-    let (other, second) = next_request_at_any(&ends);
+    let (other, second) = next_request_at_any(&endpoints);
     assert_eq!(other, 1 - home);
-    ends[other].1.serve(&second);
-    ends[home].1.serve(&asked);
-    assert_eq!((client.status(1), client.status(2)), (200, 200), "what was out there is still answered");
-    // The home is back and the other one leaves, as an attempt at the home fails: the retry stays away.
+    endpoints[other].1.serve(&second);
+    endpoints[home].1.serve(&received);
+    assert_eq!((client.status(1), client.status(2)), (200, 200), "the outstanding request is still answered");
+    // The home is active again and the other endpoint leaves as an attempt at the home fails: the retry
+    // avoids the leaving endpoint.
     assert!(poll.read_next());
     poll.respond(
         3,
-        &[pool_notice_json(3, false, &endpoint_json(ends[home].0, &ends[home].1.address, "active"))],
+        &[pool_notice_json(
+            3,
+            false,
+            &endpoint_json(endpoints[home].0, &endpoints[home].1.address, "active"),
+        )],
     );
     assert!(poll.read_next());
     client.send_request(3, "page", 3);
-    let (at, third) = next_request_at_any(&ends);
+    let (at, third) = next_request_at_any(&endpoints);
     assert_eq!(at, home);
     router.pause();
-    ends[home].1.reply(&third, "BROKE", "-", b"");
+    endpoints[home].1.reply(&third, "BROKE", "-", b"");
     poll.respond(
         4,
-        &[pool_notice_json(4, false, &endpoint_json(ends[other].0, &ends[other].1.address, "leaving"))],
+        &[pool_notice_json(
+            4,
+            false,
+            &endpoint_json(endpoints[other].0, &endpoints[other].1.address, "leaving"),
+        )],
     );
     router.resume();
-    let (at, again) = next_request_at_any(&ends);
+    let (at, again) = next_request_at_any(&endpoints);
     assert_eq!((at, &again.id), (home, &third.id));
-    ends[home].1.serve(&again);
+    endpoints[home].1.serve(&again);
     assert_eq!(client.status(3), 200);
     router.terminate();
-    assert_eq!((ends[0].1.received_request_ids(), ends[1].1.received_request_ids()), (vec![], vec![]));
+    assert_eq!(
+        (endpoints[0].1.received_request_ids(), endpoints[1].1.received_request_ids()),
+        (vec![], vec![])
+    );
 }
 
 #[test]
-fn a_watch_that_is_silent_breaks_off_or_brings_junk_is_begun_anew_from_the_last_event() {
-    let (board, end) = (DiscoveryServer::new(), Endpoint::new());
-    let router = Router::start("anew", &watched(&board, &[("e-1", &end)]));
-    let leaving = |rev| pool_notice_json(rev, false, &endpoint_json("e-1", &end.address, "leaving"));
-    let whole = DiscoveryPoll::response_bytes(2, &[leaving(2)]);
-    // Nothing at all; half a line; half a body; no HTTP; no JSON; a gap. After each it asks again on a new connection.
-    let mut poll = board.poll();
+fn a_poll_that_times_out_breaks_off_or_returns_garbage_is_repeated_from_the_last_event() {
+    let (discovery, endpoint) = (DiscoveryServer::new(), Endpoint::new());
+    let router = Router::start("anew", &setup_with_discovery(&discovery, &[("e-1", &endpoint)]));
+    let leaving = |rev| pool_notice_json(rev, false, &endpoint_json("e-1", &endpoint.address, "leaving"));
+    let complete = DiscoveryPoll::response_bytes(2, &[leaving(2)]);
+    // No response; half a line; half a body; no HTTP; no JSON; a gap. The router polls again on a new
+    // connection after each.
+    let mut poll = discovery.poll();
     let silent = poll;
-    poll = board.poll();
+    poll = discovery.poll();
     for bytes in [
-        &whole[..9],
-        &whole[..whole.len() - 5],
+        &complete[..9],
+        &complete[..complete.len() - 5],
         b"what?\r\n\r\n",
         b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\n{]}",
         &DiscoveryPoll::response_bytes(9, &[leaving(9)]),
@@ -144,35 +169,36 @@
         assert_eq!(poll.last_revision, 1, "from the last event");
         poll.stream.write_all(bytes).expect("written");
         poll.stream.shutdown(std::net::Shutdown::Write).expect("open");
-        poll = board.poll();
+        poll = discovery.poll();
     }
     assert_eq!(poll.last_revision, 1);
     let mut client = Client::connect(&router);
     client.send_request(1, "page", 1);
-    end.serve(&end.next_request());
-    assert_eq!(client.status(1), 200, "what was not whole told nothing");
+    endpoint.serve(&endpoint.next_request());
+    assert_eq!(client.status(1), 200, "incomplete responses had no effect");
     poll.respond(2, &[leaving(2)]);
     assert!(poll.read_next() && poll.last_revision == 2);
     client.send_request(2, "page", 2);
-    assert_eq!(client.status(2), 503, "nobody is left");
+    assert_eq!(client.status(2), 503, "no endpoint is left");
     drop(silent);
     router.terminate();
 }
 
 #[test]
-fn an_answer_that_comes_twice_late_or_of_an_older_revision_changes_nothing() {
-    let (board, end) = (DiscoveryServer::new(), Endpoint::new());
-    let router = Router::start("twice", &watched(&board, &[("e-1", &end)]));
+fn a_repeated_late_or_outdated_response_has_no_effect() {
+    let (discovery, endpoint) = (DiscoveryServer::new(), Endpoint::new());
+    let router = Router::start("twice", &setup_with_discovery(&discovery, &[("e-1", &endpoint)]));
     let mut client = Client::connect(&router);
-    let event = |rev, status| pool_notice_json(rev, false, &endpoint_json("e-1", &end.address, status));
-    let mut poll = board.poll();
-    // The same answer twice, at once: what nobody asked for ends the connection, and the next poll goes on a new one.
+    let event = |rev, status| pool_notice_json(rev, false, &endpoint_json("e-1", &endpoint.address, status));
+    let mut poll = discovery.poll();
+    // The same response twice, at once: unsolicited data closes the connection, and the next poll uses a new
+    // one.
     let mut twice = DiscoveryPoll::response_bytes(2, &[event(2, "leaving")]);
     twice.extend(DiscoveryPoll::response_bytes(2, &[event(2, "leaving")]));
     poll.stream.write_all(&twice).expect("written");
-    let mut poll = board.poll();
+    let mut poll = discovery.poll();
     assert_eq!(poll.last_revision, 2);
-    // In any order, some of them twice and some known: told once.
+    // Events out of order, repeated and already known: each takes effect once.
     poll.respond(4, &[event(4, "active"), event(3, "leaving"), event(4, "active"), event(2, "leaving")]);
     assert!(poll.read_next());
     assert_eq!(poll.last_revision, 4);
@@ -180,25 +206,25 @@
     assert!(poll.read_next());
     assert_eq!(poll.last_revision, 4);
     client.send_request(1, "page", 1);
-    end.serve(&end.next_request());
-    assert_eq!(client.status(1), 200, "it serves, as the last event says");
+    endpoint.serve(&endpoint.next_request());
+    assert_eq!(client.status(1), 200, "it serves, according to the last event");
     let log = router.terminate();
-    assert!(log.contains(" lists=4 "), "the start and three events, each once: {log}");
+    assert!(log.contains(" lists=4 "), "the initial list and three events, each once: {log}");
 }
 
 #[test]
-fn a_board_whose_numbering_begins_anew_is_asked_for_all_and_heard() {
-    let (board, old, new) = (DiscoveryServer::new(), Endpoint::new(), Endpoint::new());
-    let router = Router::start("numbering", &watched(&board, &[("e-1", &old)]));
+fn a_discovery_service_that_restarts_its_numbering_is_asked_for_everything() {
+    let (discovery, old, new) = (DiscoveryServer::new(), Endpoint::new(), Endpoint::new());
+    let router = Router::start("numbering", &setup_with_discovery(&discovery, &[("e-1", &old)]));
     let mut client = Client::connect(&router);
-    let mut poll = board.poll();
+    let mut poll = discovery.poll();
     let events: Vec<String> = (2..=9).map(|rev| pool_notice_json(rev, false, "")).collect();
     poll.respond(9, &events);
     assert!(poll.read_next() && poll.last_revision == 9);
-    // It began anew: its last event is the second, which is not among those that the router has.
+    // The numbering restarted: the latest event is revision 2, while the router is at revision 9.
     poll.respond(2, &[]);
     assert!(poll.read_next());
-    assert_eq!(poll.last_revision, 0, "all that there is");
+    assert_eq!(poll.last_revision, 0, "all events are requested");
     let list = endpoint_json("e-2", &new.address, "active");
     poll.respond(
         2,
@@ -216,11 +242,11 @@
 }
 
 #[test]
-fn one_entry_that_cannot_be_read_keeps_nothing_else_from_being_heard_and_gets_nothing_itself() {
-    let (board, one, two) = (DiscoveryServer::new(), Endpoint::new(), Endpoint::new());
-    let router = Router::start("junk", &watched(&board, &[("e-1", &one), ("e-2", &two)]));
+fn a_malformed_entry_does_not_affect_other_entries_and_its_endpoint_receives_nothing() {
+    let (discovery, one, two) = (DiscoveryServer::new(), Endpoint::new(), Endpoint::new());
+    let router = Router::start("junk", &setup_with_discovery(&discovery, &[("e-1", &one), ("e-2", &two)]));
     let mut client = Client::connect(&router);
-    let mut poll = board.poll();
+    let mut poll = discovery.poll();
     let entries = [
         endpoint_json("e-2", &two.address, "resting"),
         r#"{"name":"e-3","address":"nowhere","status":"active"}"#.to_owned(),
@@ -232,14 +258,14 @@
         &[pool_notice_json(2, false, &entries.join(",")), flush, r#"{"rev":4,"weather":"rain"}"#.to_owned()],
     );
     assert!(poll.read_next());
-    assert_eq!(poll.last_revision, 4, "the rest is heard");
-    // Whichever was the object's home: what can't be read of one is taken as that it leaves, and a purge without a time
-    // as one of now.
+    assert_eq!(poll.last_revision, 4, "the other events are applied");
+    // Whichever endpoint is the object's home: an endpoint with a malformed entry is treated as leaving, and
+    // a purge without a time as happening now.
     for request in 1..=6 {
         client.send_request(request, "page", request.into());
-        let asked = one.next_request();
-        assert!(asked.fields.contains("newer="), "{}", asked.fields);
-        one.serve(&asked);
+        let received = one.next_request();
+        assert!(received.fields.contains("newer="), "{}", received.fields);
+        one.serve(&received);
         assert_eq!(client.status(request), 200);
     }
     router.terminate();
@@ -247,25 +273,25 @@
 }
 
 #[test]
-fn a_board_that_is_down_at_the_start_and_comes_back_is_heard_and_keeps_nobody_waiting() {
-    // Nobody else is given its port while it is down.
+fn requests_are_served_while_discovery_is_down_at_the_start_and_events_are_applied_once_it_is_back() {
+    // An IP address of its own: no other process gets the port while the service is down.
     let own = rig::loopback::OwnIp::take().expect("an address");
-    let (board, end) = (DiscoveryServer::at(&own.any().to_string()), Endpoint::new());
-    let address = board.address.clone();
-    drop(board);
-    let mut site = RouterSetup::new(&[("e-1", &end)]);
-    site.board = address.clone();
-    let router = Router::start("down", &site);
+    let (discovery, endpoint) = (DiscoveryServer::at(&own.any().to_string()), Endpoint::new());
+    let address = discovery.address.clone();
+    drop(discovery);
+    let mut setup = RouterSetup::new(&[("e-1", &endpoint)]);
+    setup.discovery = address.clone();
+    let router = Router::start("down", &setup);
     let mut client = Client::connect(&router);
     client.send_request(1, "/alive", 0);
-    assert_eq!(client.status(1), 200, "ready by what it was told at its start");
+    assert_eq!(client.status(1), 200, "ready with the configured endpoints");
     client.send_request(2, "page", 1);
-    end.serve(&end.next_request());
+    endpoint.serve(&endpoint.next_request());
     assert_eq!(client.status(2), 200);
     wait_until("some polls have failed", || router.counter("watch_faults") > 2);
-    let board = DiscoveryServer::at(&address);
-    let mut poll = board.poll();
-    poll.respond(2, &[pool_notice_json(2, false, &endpoint_json("e-1", &end.address, "left"))]);
+    let discovery = DiscoveryServer::at(&address);
+    let mut poll = discovery.poll();
+    poll.respond(2, &[pool_notice_json(2, false, &endpoint_json("e-1", &endpoint.address, "left"))]);
     assert!(poll.read_next());
     client.send_request(3, "page", 2);
     assert_eq!(client.status(3), 503);
