--- a/src/runtime/mod.rs
+++ b/src/runtime/mod.rs
@@ -539,6 +539,8 @@
         }
     }
 
+    /// Passes one input to the reducer and executes its effects. A panic of the reducer is counted and loses only
+    /// the effects of this input.
     fn handle_input(&mut self, input: Input) {
         let now = self.now();
         events::input(now, &input);
@@ -553,6 +555,7 @@
         effects.into_iter().for_each(|effect| self.execute(now, effect));
     }
 
+    /// Executes one effect of the reducer.
     fn execute(&mut self, now: Millis, effect: Effect) {
         events::effect(now, &effect);
         match effect {
--- a/tests/hot_restart.rs
+++ b/tests/hot_restart.rs
@@ -10,7 +10,7 @@
 fn test_directory(test: &str) -> PathBuf {
     let path = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("hot-{test}"));
     let _ = std::fs::remove_dir_all(&path); // It exists only after an earlier run.
-    std::fs::create_dir(&path).expect("made");
+    std::fs::create_dir(&path).expect("directory created");
     path
 }
 
@@ -57,7 +57,7 @@
     assert_eq!(ready_status(&new), 200);
     new.terminate();
     assert!(endpoint.received_request_ids().is_empty());
-    std::fs::remove_dir_all(tmp).expect("there");
+    std::fs::remove_dir_all(tmp).expect("directory removed");
 }
 
 #[test]
@@ -78,19 +78,19 @@
     wait_until("the new process applies the change", || ready_status(&new) == 503);
     assert!(stays_excluded(&new));
     new.terminate();
-    std::fs::remove_dir_all(tmp).expect("there");
+    std::fs::remove_dir_all(tmp).expect("directory removed");
 }
 
 #[test]
 fn a_process_that_hangs_with_the_lock_or_is_killed_leaves_the_other_serving() {
     let endpoint = Endpoint::new();
     let (old, new, tmp) = start_pair("killed", &endpoint);
-    let lock = std::fs::read_dir(&tmp).expect("there").flatten().map(|entry| entry.path());
+    let lock = std::fs::read_dir(&tmp).expect("directory read").flatten().map(|entry| entry.path());
     let lock = lock.into_iter().find(|path| path.extension().is_some_and(|e| e == "lock")).expect("a lock");
     // One process hangs while holding the lock: the other answers that the change can't be saved, and nothing
     // changes.
-    let lock_file = std::fs::File::options().write(true).open(&lock).expect("there");
-    lock_file.lock().expect("free");
+    let lock_file = std::fs::File::options().write(true).open(&lock).expect("file opened");
+    lock_file.lock().expect("the lock is free");
     assert_eq!(operator_call(&new.operator_address(), "POST", "/api/exclude", "e-1"), 500);
     assert_eq!(ready_status(&new), 200);
     // It is killed and leaves half a temporary file: the kernel releases the lock.
@@ -106,12 +106,12 @@
     endpoint.serve(&endpoint.next_request());
     assert_eq!(client.status(1), 200);
     new.terminate();
-    std::fs::remove_dir_all(tmp).expect("there");
+    std::fs::remove_dir_all(tmp).expect("directory removed");
 }
 
 /// Returns the path of the state file in a directory.
 fn state_file(directory: &Path) -> PathBuf {
-    let files = std::fs::read_dir(directory).expect("there").flatten().map(|entry| entry.path());
+    let files = std::fs::read_dir(directory).expect("directory read").flatten().map(|entry| entry.path());
     files.into_iter().find(|path| path.extension().is_some_and(|e| e == "state")).expect("a state file")
 }
 
@@ -128,20 +128,20 @@
     // the path of its temporary file.
     let state = state_file(&tmp);
     let part = state.with_extension(format!("{}.part", old.pid()));
-    std::fs::create_dir(&part).expect("made");
+    std::fs::create_dir(&part).expect("directory created");
     std::fs::write(&state, b"not a state").expect("written");
     setup.options.extend(["--listen".into(), old.address.clone()]);
     let new = Router::start("spoilt-new", &setup);
     old.wait_for_log("can't be saved");
     // Longer than the new process leaves a corrupt file alone.
     rig::sleep_ms(1000);
-    std::fs::remove_dir(&part).expect("there");
+    std::fs::remove_dir(&part).expect("directory removed");
     assert!(stays_excluded(&old), "it keeps the change it has accepted");
     wait_until("the new process applies the change", || ready_status(&new) == 503);
     assert!(stays_excluded(&new));
     old.terminate();
     new.terminate();
-    std::fs::remove_dir_all(tmp).expect("there");
+    std::fs::remove_dir_all(tmp).expect("directory removed");
 }
 
 #[test]
@@ -164,5 +164,5 @@
     wait_until("the old process applies the change", || ready_status(&old) == 503);
     old.terminate();
     new.terminate();
-    std::fs::remove_dir_all(tmp).expect("there");
+    std::fs::remove_dir_all(tmp).expect("directory removed");
 }
--- a/tests/rig/flow.rs
+++ b/tests/rig/flow.rs
@@ -53,7 +53,7 @@
 /// Sends on a connection until the router closes it, or until a time. Returns the record of the connection.
 pub fn until_closed(client: Client, pattern: SendPattern, timeout_ms: u64, until: Instant) -> Transcript {
     let transcript = Arc::new(Mutex::new(Transcript::default()));
-    let reader = client.stream.try_clone().expect("a second handle");
+    let reader = client.stream.try_clone().expect("a duplicate handle");
     let reader_thread = thread::spawn({
         let transcript = transcript.clone();
         move || read(reader, &transcript)
--- a/tests/rig/mod.rs
+++ b/tests/rig/mod.rs
@@ -345,7 +345,7 @@
                     continue;
                 }
                 let _ = stream.set_nodelay(true);
-                let reader = stream.try_clone().expect("a second handle");
+                let reader = stream.try_clone().expect("a duplicate handle");
                 conns.lock().expect("not poisoned").insert(next, stream);
                 if sender.send(Event::Connected(next)).is_err() {
                     return;
--- a/tests/serve.rs
+++ b/tests/serve.rs
@@ -119,7 +119,7 @@
         }
     }
 
-    /// Ends it with a signal; what it logged.
+    /// Sends SIGTERM, waits for the exit and returns the rest of the log.
     fn terminate(self) -> String {
         self.signal("-TERM");
         self.wait_for_exit()
@@ -483,7 +483,7 @@
 fn test_directory(test: &str) -> PathBuf {
     let path = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("{test}-tmp"));
     let _ = std::fs::remove_dir_all(&path); // It exists only after an earlier run.
-    std::fs::create_dir(&path).expect("made");
+    std::fs::create_dir(&path).expect("directory created");
     path
 }
 
@@ -509,7 +509,7 @@
     std::fs::remove_file(&file).and_then(|()| std::fs::create_dir(&file)).expect("a directory in its place");
     assert_eq!(operator_call(&ops, "POST", "/api/exclude", "s-1"), 500);
     assert_eq!((operator_call(&ops, "GET", "/api/ready", ""), is_served(&router.address, 1)), (200, true));
-    let left = std::fs::read_dir(&tmp).expect("there").flatten().map(|entry| entry.file_name());
+    let left = std::fs::read_dir(&tmp).expect("directory read").flatten().map(|entry| entry.file_name());
     assert!(
         left.into_iter().all(|name| !name.to_string_lossy().ends_with(".part")),
         "no temporary file remains"
@@ -525,7 +525,7 @@
         (200, 503)
     );
     router.terminate();
-    std::fs::remove_dir_all(&tmp).expect("there");
+    std::fs::remove_dir_all(&tmp).expect("directory removed");
 }
 
 #[test]
@@ -564,7 +564,7 @@
     let (router, ops) = start_with_tmp(&tmp, "badfile-good", &machine, &address);
     assert_eq!(operator_call(&ops, "GET", "/api/ready", ""), 503, "the only machine, s-1, is excluded");
     router.terminate();
-    std::fs::remove_dir_all(&tmp).expect("there");
+    std::fs::remove_dir_all(&tmp).expect("directory removed");
 }
 
 #[test]
@@ -706,7 +706,7 @@
     router.terminate();
     assert!(!socket.exists(), "removed at exit");
     assert_eq!(ctl(&["ready"]).0, 3, "no answer");
-    std::fs::remove_dir_all(&tmp).expect("there");
+    std::fs::remove_dir_all(&tmp).expect("directory removed");
 }
 
 #[test]
@@ -737,5 +737,5 @@
     );
     old.terminate();
     new.terminate();
-    std::fs::remove_dir_all(&tmp).expect("there");
+    std::fs::remove_dir_all(&tmp).expect("directory removed");
 }
