--- a/src/config.rs
+++ b/src/config.rs
@@ -1,7 +1,7 @@
-//! What a router is told at its start: the environment, the JSON config, and the module's settings.
+//! A router's configuration: the JSON config, its overrides, and the settings of the decision module.
 //!
-//! The settings come as path=value pairs on the simulator's wire and as nested JSON here. The JSON is
-//! flattened to the same pairs, so that both are read by the same lines.
+//! The simulator sends settings as path=value pairs; the JSON config holds them as nested objects. The JSON
+//! is flattened to the same pairs, so that one parser reads both.
 
 mod check;
 
@@ -15,77 +15,77 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// Why something cannot be read.
+/// Why something can't be parsed.
 pub type ParseError = String;
 
-/// How long a purge bounds the age of copies where no setting says when all have dropped theirs.
+/// How long a purge bounds the age of copies if no setting says when all machines have dropped theirs.
 const DEFAULT_PURGE_AGE_BOUND_MS: Millis = 3_600_000.0;
 
-/// What the network side needs of the settings.
+/// The settings of the network side.
 #[derive(Clone, Debug, PartialEq)]
 pub struct NetworkSettings {
-    /// A connection that isn't up after this long counts as refused.
+    /// A dial that takes longer counts as failed.
     pub dial_timeout_ms: Millis,
-    /// Machines close connections that were idle for so long.
+    /// Machines close connections that are idle for this long.
     pub idle_ms: Millis,
-    /// Attempts that one connection carries at once.
+    /// Attempts that may be outstanding on one connection.
     pub streams_per_connection: usize,
-    /// Requests that may be open.
+    /// Client requests that may be open.
     pub max_open_requests: usize,
-    /// Memory that all its processes may use, in bytes.
+    /// Memory that all of the router's processes may use together.
     pub memory_bytes: usize,
-    /// File descriptors that it may hold.
+    /// File descriptors that the process may use.
     pub max_descriptors: usize,
-    /// Bytes a second that one transfer to a client brings at most; `None`: not told.
+    /// Highest rate of one transfer to a client, in bytes per second; `None` if unknown.
     pub flow_bytes_per_s: Option<f64>,
 }
 
-/// All that a router is told at its start.
+/// A router's configuration.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// Its name.
+    /// The router's name.
     pub name: String,
-    /// Where clients connect.
+    /// The address that clients connect to.
     pub listen: SocketAddr,
-    /// The notice board.
+    /// The address of the discovery service.
     pub discovery_address: SocketAddr,
-    /// Where operators call, if anywhere.
+    /// The address for operators' calls, if any.
     pub ops: Option<SocketAddr>,
-    /// For random choices.
+    /// Seed of all random choices.
     pub seed: u64,
-    /// The notice board's last event that `known` holds.
+    /// The revision up to which `known_events` are complete.
     pub known_rev: u64,
-    /// The events of the start.
+    /// Discovery events from before the start.
     pub known_events: Vec<DiscoveryEvent>,
-    /// The module's settings.
+    /// The settings of the decision module.
     pub settings: Settings,
-    /// The network side's.
+    /// The settings of the network side.
     pub net: NetworkSettings,
-    /// What there is to say of the settings.
+    /// Warnings about missing or unknown settings.
     pub warnings: Vec<String>,
 }
 
-/// Where the config and the operator's file are, and what goes before them.
+/// Paths of the JSON config and the operator's file, and values that override the config.
 #[derive(Clone, Debug, Default)]
 pub struct Sources {
     /// The JSON config.
     pub config: Option<PathBuf>,
-    /// Goes before the config's name.
+    /// Overrides the config's name.
     pub name: Option<String>,
-    /// Goes before the config's address.
+    /// Overrides the config's listening address.
     pub listen: Option<String>,
-    /// Goes before the config's place for operators' calls.
+    /// Overrides the config's address for operators' calls.
     pub ops: Option<String>,
-    /// The operator's file; `None`: nothing further is switched on.
+    /// The operator's file; `None` leaves all of its features off.
     pub operator: Option<PathBuf>,
 }
 
-/// Why the files can't be taken.
+/// Why the files can't be loaded.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LoadError {
-    /// What is wrong.
+    /// The cause.
     pub message: String,
-    /// They could not be read in a way that may pass: nothing is known against them.
+    /// The files could not be read for a reason that may pass; nothing is known to be wrong with them.
     pub transient: bool,
 }
 
@@ -102,7 +102,7 @@
 }
 
 impl Sources {
-    /// Reads both, or neither.
+    /// Loads both files, or neither.
     pub fn load(&self) -> Result<(Config, Operator), LoadError> {
         let path = self.config.as_ref().ok_or_else(|| "PROXY_CONFIG isn't set".to_owned())?;
         let shown = path.display();
@@ -119,7 +119,7 @@
 }
 
 impl Config {
-    /// Reads the JSON; the name and the address given go before what it says.
+    /// Parses the JSON config; `name` and `listen` override its values.
     pub fn read(mut json: Vec<u8>, name: Option<String>, listen: Option<String>) -> Result<Self, ParseError> {
         let value = simd_json::to_owned_value(&mut json).map_err(|e| format!("not JSON: {e}"))?;
         let text = |key: &str| value.get_str(key).map(str::to_owned);
@@ -144,9 +144,10 @@
         };
         let warnings = check::warnings(&options)?;
         let mut settings = settings(&options)?;
-        settings.limits.max_attempts = settings.limits.max_attempts.max(1); // None at all would serve nobody.
+        // Without any attempt, no request would be served.
+        settings.limits.max_attempts = settings.limits.max_attempts.max(1);
         if settings.classes.is_empty() {
-            return Err("settings name no class".to_owned());
+            return Err("settings contain no request class".to_owned());
         }
         Ok(Self {
             name: name.or(text("name")).unwrap_or_default(),
@@ -174,8 +175,8 @@
     }
 }
 
-/// Turns nested JSON into the pairs of the simulator's first message: plain lists are joined by commas, lists
-/// of objects give their length under `.count`.
+/// Flattens nested JSON to the pairs of the simulator's first message: plain lists are joined by commas,
+/// lists of objects add their length under `.count`.
 fn flatten(path: &str, value: &OwnedValue, pairs: &mut Vec<(String, String)>) {
     let below = |key: &str| if path.is_empty() { key.to_owned() } else { format!("{path}.{key}") };
     if let Some(object) = value.as_object() {
@@ -200,7 +201,7 @@
     }
 }
 
-/// Where a value of a load report goes, by its name; `None`: it isn't known.
+/// Returns the field of a load report with the given wire name; `None` if the name is unknown.
 pub fn report_value<'a>(report: &'a mut LoadReport, name: &str) -> Option<&'a mut Option<f64>> {
     Some(match name {
         "util" => &mut report.util,
@@ -211,7 +212,7 @@
     })
 }
 
-/// Reads a finite number.
+/// Parses a finite number.
 pub fn number(text: &str, what: &str) -> Result<f64, ParseError> {
     text.parse::<f64>()
         .ok()
@@ -219,7 +220,7 @@
         .ok_or_else(|| format!("{what} is not a number: {text}"))
 }
 
-/// The settings' path=value pairs, as the simulator's first message has them.
+/// The settings as path=value pairs, as in the simulator's first message.
 #[derive(Debug, Default)]
 pub struct Options<'a>(HashMap<&'a str, &'a str>);
 
@@ -242,7 +243,7 @@
         self.number_or(path, 0.0)
     }
 
-    /// A figure, or what stands where it is missing.
+    /// Returns a number, or `missing` if it is absent or `-`.
     fn number_or(&self, path: &str, missing: f64) -> Result<f64, ParseError> {
         match self.text(path) {
             "" | "-" => Ok(missing),
@@ -272,7 +273,7 @@
     }
 }
 
-/// Reads the module's settings from the pairs.
+/// Parses the settings of the decision module.
 pub fn settings(options: &Options) -> Result<Settings, ParseError> {
     let guarantees = Guarantees {
         grace_to_answer_ms: options.number("Guarantees.GraceToAnswerMs")?,
@@ -285,7 +286,7 @@
         parent_cold_ms: options.number("FamilyInfo.UpperColdMs")?,
         parent_fall_multiple: options.number("FamilyInfo.UpperFallMultiple")?,
         purge_notice_ms: options.number("FamilyInfo.NoticeTimeMs")?,
-        // Bounding ages for too long costs memory alone; for too short it would let a purged copy answer.
+        // Bounding ages for too long only costs memory; for too short a time, a purged copy could be served.
         purge_gone_ms: options.number_or("FamilyInfo.GoneEverywhereMs", DEFAULT_PURGE_AGE_BOUND_MS)?,
     };
     let limits = Limits {
--- a/src/config/check.rs
+++ b/src/config/check.rs
@@ -1,10 +1,11 @@
-//! What is said of settings at the start: one out of range ends it, one that is missing or says an unknown word is told
-//! with what stands instead. Which names there are and what they mean is the operators' wire page's.
+//! Validation of settings: a value out of range is an error; a missing value or an unknown keyword gives a
+//! warning that names the fallback. The names and their meaning are specified by the operators' wire
+//! protocol.
 
 use super::{number, Options, ParseError};
 use std::collections::HashSet;
 
-/// Single figures, and the most that each may be.
+/// Settings with a single number, and its maximum.
 const NUMBERS: [(&str, f64); 18] = [
     ("Guarantees.GraceToAnswerMs", f64::MAX),
     ("Guarantees.StopSendingWithinMs", f64::MAX),
@@ -26,7 +27,7 @@
     ("Limits.MaxOpen", 1e9),
 ];
 
-/// Lists of figures, one a class or a zone.
+/// Settings with a list of numbers, one per class or zone, and their maximum.
 const NUMBER_LISTS: [(&str, f64); 5] = [
     ("FamilyInfo.GoodForMs", f64::MAX),
     ("FamilyInfo.StaleForMs", f64::MAX),
@@ -35,7 +36,7 @@
     ("FamilyInfo.LinkInKbPerS", f64::MAX),
 ];
 
-/// Words, those that are known, and what an unknown one is taken for: what allows least.
+/// Settings with a keyword, the known keywords, and the fallback for an unknown one: the most restrictive.
 const KEYWORDS: [(&str, &[&str], &str); 5] = [
     ("Discovery", &["push", "ask"], "push"),
     ("FamilyInfo.Detail", &["all", "hit", "silent"], "silent"),
@@ -44,7 +45,7 @@
     ("Stats.Source", &["piggyback", "pull", "silent"], "silent"),
 ];
 
-/// The warnings on settings that can be lived with; a fault for one that can't.
+/// Returns warnings about settings that are usable, or an error for those that are not.
 pub(super) fn warnings(options: &Options) -> Result<Vec<String>, ParseError> {
     let (mut warnings, mut missing) = (Vec::new(), Vec::new());
     for (path, max) in NUMBERS {
@@ -63,14 +64,14 @@
         let path = |key: &str| format!("RequestClasses.{at}.{key}");
         let name = options.text(&path("Name"));
         if name.is_empty() || !names.insert(name) {
-            return Err(format!("{} is missing or that of another class: {name}", path("Name")));
+            return Err(format!("{} is missing or a duplicate: {name}", path("Name")));
         }
         for key in ["AimMs", "HardLimitMs", "DedupWindowMs", "AimStretch", "Worth"] {
             options.list(&path(key)).try_for_each(|text| check_range(text, &path(key), f64::MAX))?;
         }
         check_range(options.text(&path("LateWorth")), &path("LateWorth"), 1.0)?;
         if options.number(&path("HardLimitMs"))? == 0.0 {
-            return Err(format!("{} is missing: nobody of {name} would be served", path("HardLimitMs")));
+            return Err(format!("{} is missing: no request of {name} could be served", path("HardLimitMs")));
         }
         words.push((path("Repeat"), &["retryable", "dedup", "fragile"], "fragile"));
         if options.text(&path("Repeat")) == "dedup" {
@@ -84,15 +85,15 @@
         match options.text(&path) {
             "" | "-" => missing.push(path),
             text if known.contains(&text) => {}
-            text => warnings.push(format!("{path} is unknown: {text}; {fallback} stands")),
+            text => warnings.push(format!("{path} has the unknown value {text}; using {fallback}")),
         }
     }
     let zone = options.text("Az");
     if !options.list("Localities").any(|known| known == zone) {
-        warnings.push(format!("Az is none of the Localities: {zone}"));
+        warnings.push(format!("Az is not one of the Localities: {zone}"));
     }
     if !missing.is_empty() {
-        warnings.push(format!("missing, defaults stand: {}", missing.join(", ")));
+        warnings.push(format!("missing settings, using defaults: {}", missing.join(", ")));
     }
     Ok(warnings)
 }
--- a/src/discovery.rs
+++ b/src/discovery.rs
@@ -1,8 +1,10 @@
-//! The discovery watch: the notice board's events, in order, by long polls over HTTP/1.1. Pure; bytes in, notices out.
+//! Client of the discovery service: follows its numbered events in order by HTTP/1.1 long polls. It performs
+//! no I/O; the caller passes in received bytes and gets events back.
 //!
-//! What the board says counts as told 7 s later whether it has come or not, and a drain or a purge binds from then. So a
-//! silence has a deadline short enough for two in a row ([`LONG_POLL_MS`], [`POLL_SLACK_MS`]), and whatever an answer
-//! brings, the watch goes on: what can't be read is taken in the sense that allows least, and nothing else waits for it.
+//! An announcement counts as received 7 s after it was made, whether it has arrived or not, and a drain or a
+//! purge binds from then on. The poll deadline ([`LONG_POLL_MS`] + [`POLL_SLACK_MS`]) is therefore short
+//! enough that two unanswered polls in a row fit into that time. Unreadable parts of a response never stop
+//! the client: each is read in the most restrictive sense, and the rest of the response is applied.
 
 use crate::api::{MachineKind, Millis, Phase, Zone};
 use crate::clock::UnixTime;
@@ -11,60 +13,62 @@
 use std::net::SocketAddr;
 use twox_hash::XxHash64;
 
-/// How long the board may hold a poll back. Short, as a broken poll is noticed only once this is over.
+/// Longest time that the service may hold a poll before it answers, in milliseconds. Short, because a broken
+/// poll is noticed only after it.
 pub const LONG_POLL_MS: Millis = 2000.0;
-/// Beyond that, a poll that hasn't been answered is broken.
+/// Time beyond [`LONG_POLL_MS`] after which an unanswered poll counts as failed, in milliseconds.
 pub const POLL_SLACK_MS: Millis = 700.0;
-/// First and last wait after a failed poll, less up to a half that each router draws. The first failure is followed up
-/// at once.
+/// First and longest wait after a failed poll, in milliseconds, each reduced by a random share of up to one
+/// half. The first retry follows at once.
 const BACKOFF_MS: [Millis; 2] = [20.0, 500.0];
-/// Routers that are told of another board at the same moment ask it within this.
+/// Routers that are given another discovery address at the same moment spread their first polls over this
+/// time, in milliseconds.
 const ADDRESS_CHANGE_SPREAD_MS: Millis = 100.0;
-/// Doubts about one answer that are told.
+/// Problems reported per response.
 const MAX_REPORTED_PROBLEMS: usize = 4;
-/// Bytes of one answer, at most.
+/// Upper bound on the size of one response, in bytes.
 const MAX_RESPONSE_BYTES: usize = 8 << 20;
-/// Times that the same gap is asked for again before all is asked for anew.
+/// How often the same gap is requested again before the client starts over from revision 0.
 const MAX_GAP_RETRIES: u32 = 3;
 
-/// A machine as the board lists it.
+/// A machine as announced by the discovery service.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ListedMachine {
-    /// Its name, which stays when its address changes.
+    /// The machine's name; it stays the same when the address changes.
     pub name: String,
-    /// Where it listens.
+    /// The listening address.
     pub address: SocketAddr,
-    /// Where it stands.
+    /// The zone that the machine is in.
     pub zone: Zone,
-    /// What it is.
+    /// The kind of machine.
     pub kind: MachineKind,
-    /// Its cell.
+    /// The machine's cell.
     pub cell: u64,
-    /// Its registered size.
+    /// The registered capacity.
     pub weight: f64,
-    /// Its state.
+    /// The announced state.
     pub phase: Phase,
-    /// When it started late.
+    /// When the machine last started, if it started recently.
     pub since_unix_ms: Option<UnixTime>,
 }
 
-/// What one event says.
+/// The content of an event.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Announcement {
-    /// Changes of the list of machines, or the whole list.
+    /// Changes to the list of machines, or the whole list.
     Pool {
-        /// The whole list: what is absent is gone.
+        /// This is the whole list: machines that are absent from it are gone.
         snapshot: bool,
-        /// The machines.
+        /// The listed machines.
         machines: Vec<ListedMachine>,
     },
-    /// A purge.
+    /// A purge of cached copies.
     Purge {
-        /// The object; `None`: the group.
+        /// The object to purge; `None` purges the whole group.
         object: Option<String>,
-        /// The group.
+        /// The purge group.
         group: u64,
-        /// When it was made.
+        /// When the purge was made.
         made_unix_ms: UnixTime,
     },
 }
@@ -72,13 +76,13 @@
 /// A numbered event.
 #[derive(Clone, Debug, PartialEq)]
 pub struct DiscoveryEvent {
-    /// Its number.
+    /// The event's revision.
     pub rev: u64,
-    /// What it says; `None`: nothing that is known here.
+    /// The content; `None` if this version does not know the type of event.
     pub announcement: Option<Announcement>,
 }
 
-/// Reads `{"rev":LAST,"notices":[...]}`, all of it or nothing.
+/// Parses `{"rev":LAST,"notices":[...]}`. Any problem is an error.
 pub fn parse_events(value: &OwnedValue) -> Result<(u64, Vec<DiscoveryEvent>), String> {
     let mut problems = Vec::new();
     let read = parse_events_leniently(value, &mut problems)?;
@@ -88,7 +92,8 @@
     }
 }
 
-/// The same, but what can't be read of one notice is taken in the sense that allows least, and told as a problem.
+/// Like [`parse_events`], but reads an unreadable part of an event in the most restrictive sense and adds a
+/// message to `problems`.
 fn parse_events_leniently(
     value: &OwnedValue,
     problems: &mut Vec<String>,
@@ -117,10 +122,10 @@
         let object = flush.get_str("asset").map(str::to_owned);
         let group = flush.get("collection").and_then(|group| group.cast_f64()).map(|group| group as u64);
         if object.is_none() && group.is_none() {
-            problems.push("a flush names nothing".to_owned());
+            problems.push("a flush names neither asset nor collection".to_owned());
             None
         } else {
-            // Without its time it is one of now: later than any that it may mean.
+            // A purge without a time counts as made now: no earlier time covers all copies that it may mean.
             let made_unix_ms = UnixTime(made.unwrap_or(f64::INFINITY));
             Some(Announcement::Purge { object, group: group.unwrap_or(0), made_unix_ms })
         }
@@ -130,7 +135,8 @@
     Ok(DiscoveryEvent { rev, announcement })
 }
 
-/// An endpoint; `None`: nobody can say of which. One of which only the name can be read gets nothing more: it leaves.
+/// Parses an endpoint; `None` if it has no name. A machine of which only the name can be read is treated as
+/// draining, so that it receives nothing more.
 fn parse_machine(value: &OwnedValue, problems: &mut Vec<String>) -> Option<ListedMachine> {
     let Some(name) = value.get_str("name") else {
         problems.push("an endpoint has no name".to_owned());
@@ -141,13 +147,13 @@
         Some("leaving") => Phase::Draining,
         Some("left") => Phase::Deleted,
         other => {
-            problems.push(format!("{name} has the status {other:?}"));
+            problems.push(format!("{name} has an unknown status: {other:?}"));
             Phase::Draining
         }
     };
     let address = value.get_str("address").and_then(|text| text.parse().ok());
     if address.is_none() && phase != Phase::Deleted {
-        problems.push(format!("{name} has no address"));
+        problems.push(format!("{name} has no valid address"));
         phase = Phase::Draining;
     }
     Some(ListedMachine {
@@ -166,7 +172,7 @@
     })
 }
 
-/// How the body of an answer ends.
+/// How the end of a response body is found.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Framing {
     Length(usize),
@@ -174,17 +180,17 @@
     Close,
 }
 
-/// Reads one HTTP answer; `eof` says that nothing more will come. The body, once it is whole, and how many bytes the
-/// answer had.
+/// Parses one HTTP response; `eof` says that no more bytes will come. Returns the body and the length of the
+/// response in bytes, or `None` while it is incomplete.
 fn parse_response(bytes: &[u8], eof: bool) -> Result<Option<(Vec<u8>, usize)>, String> {
     let mut headers = [httparse::EMPTY_HEADER; 32];
     let mut head = httparse::Response::new(&mut headers);
-    let start = match head.parse(bytes).map_err(|e| format!("unreadable answer: {e}"))? {
+    let start = match head.parse(bytes).map_err(|e| format!("invalid HTTP response: {e}"))? {
         httparse::Status::Complete(start) => start,
         httparse::Status::Partial => return Ok(None),
     };
     if head.code != Some(200) {
-        return Err(format!("answered with status {:?}", head.code));
+        return Err(format!("HTTP status {:?}", head.code));
     }
     let mut framing = Framing::Close;
     for header in head.headers.iter() {
@@ -192,7 +198,7 @@
         if header.name.eq_ignore_ascii_case("transfer-encoding") && value.eq_ignore_ascii_case("chunked") {
             framing = Framing::Chunked;
         } else if header.name.eq_ignore_ascii_case("content-length") && framing != Framing::Chunked {
-            framing = Framing::Length(value.parse().map_err(|_| "an unreadable length".to_owned())?);
+            framing = Framing::Length(value.parse().map_err(|_| "invalid content-length".to_owned())?);
         }
     }
     let rest = &bytes[start..];
@@ -203,18 +209,19 @@
     }
 }
 
-/// The body, once it is whole, and how many bytes are left behind it.
+/// Decodes a chunked body. Returns it and the number of bytes after it, or `None` while it is incomplete.
 fn parse_chunked_body(mut rest: &[u8]) -> Result<Option<(Vec<u8>, usize)>, String> {
     let mut body = Vec::new();
     loop {
-        let parsed = httparse::parse_chunk_size(rest).map_err(|_| "an unreadable chunk".to_owned())?;
+        let parsed = httparse::parse_chunk_size(rest).map_err(|_| "invalid chunk size".to_owned())?;
         let httparse::Status::Complete((start, size)) = parsed else { return Ok(None) };
         if size > MAX_RESPONSE_BYTES as u64 {
-            return Err("a chunk is too long".to_owned());
+            return Err("chunk too large".to_owned());
         }
         let Some((chunk, after)) = rest[start..].split_at_checked(size as usize) else { return Ok(None) };
         if size == 0 {
-            // Its empty line belongs to it: left over, it would stand before the next answer.
+            // The empty line after the last chunk belongs to this response; otherwise it would precede the
+            // next one.
             let left = rest[start..].strip_prefix(b"\r\n");
             return Ok(left.map(|left| (body, left.len())));
         }
@@ -222,23 +229,25 @@
         match after.strip_prefix(b"\r\n") {
             Some(after) => rest = after,
             None if after.len() < 2 => return Ok(None),
-            None => return Err("a chunk has no end".to_owned()),
+            None => return Err("chunk without final CRLF".to_owned()),
         }
     }
 }
 
-/// What an answer has brought.
+/// The content of a complete response.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct PollResponse {
     /// The new events, in order.
     pub events: Vec<DiscoveryEvent>,
-    /// What of them can't be read, some of it.
+    /// Messages about unreadable parts, at most [`MAX_REPORTED_PROBLEMS`].
     pub problems: Vec<String>,
-    /// More has come than was asked for: nobody knows what the next bytes on this connection would answer.
+    /// More bytes came than the poll asked for, so the connection can't be used again: the next response
+    /// could not be told from them.
     pub unexpected_data: bool,
 }
 
-/// Follows the board: what to ask, what an answer holds that is new, when to ask again.
+/// State of the long poll: which request to send next, which events of a response are new, and when to poll
+/// again.
 #[derive(Debug)]
 pub struct DiscoveryClient {
     last_rev: u64,
@@ -247,12 +256,13 @@
     failures: u32,
     gap_failures: u32,
     polled_at: Option<Millis>,
-    /// When the next poll is due.
+    /// Time of the next poll or, while a poll is outstanding, the poll's deadline.
     pub next_poll_at: Millis,
 }
 
 impl DiscoveryClient {
-    /// Follows from the last event that is known; `seed` has routers come apart.
+    /// Creates a client that continues after revision `last_rev`; `seed` makes routers poll at different
+    /// times.
     pub fn new(last_rev: u64, seed: u64) -> Self {
         Self {
             last_rev,
@@ -265,8 +275,8 @@
         }
     }
 
-    /// The request for what has come after the last event, to be written whole on a connection of its own
-    /// or one whose last answer was read whole.
+    /// Returns the request for the events after the last one. It must be sent on a new connection, or on one
+    /// whose last response was read completely.
     pub fn poll(&mut self, now: Millis, host: SocketAddr) -> Vec<u8> {
         self.buffer.clear();
         self.polled_at = Some(now);
@@ -276,16 +286,16 @@
             .into_bytes()
     }
 
-    /// Whether a poll is out.
+    /// Whether a poll is awaiting its response.
     pub fn poll_outstanding(&self) -> bool {
         self.polled_at.is_some()
     }
 
-    /// Takes bytes in; the new events, once the answer is whole.
+    /// Adds received bytes. Returns the new events once the response is complete.
     pub fn feed(&mut self, now: Millis, bytes: &[u8], eof: bool) -> Result<Option<PollResponse>, String> {
         self.buffer.extend_from_slice(bytes);
         if self.buffer.len() > MAX_RESPONSE_BYTES {
-            return Err("an answer is too long".to_owned());
+            return Err("response too large".to_owned());
         }
         let Some((mut body, used)) = parse_response(&self.buffer, eof)? else { return Ok(None) };
         let unexpected_data = self.buffer.len() > used;
@@ -300,7 +310,7 @@
         Ok(Some(PollResponse { events, problems, unexpected_data }))
     }
 
-    /// Events that follow the last one without a gap. One with the whole list may close a gap.
+    /// Returns the events that continue the known sequence without a gap. A snapshot may bridge a gap.
     fn accept_in_order(
         &mut self,
         rev: u64,
@@ -309,7 +319,8 @@
         list.sort_by_key(|event| event.rev);
         list.dedup_by_key(|event| event.rev);
         if list.last().map_or(rev, |event| rev.max(event.rev)) < self.last_rev {
-            // Its numbers begin anew, or this is an old answer: in problem all is heard once more.
+            // The service's numbering has started over, or this is an outdated response: request everything
+            // again, to be safe.
             self.last_rev = 0;
             return Ok(Vec::new());
         }
@@ -322,9 +333,9 @@
                 self.gap_failures += 1;
                 let last = self.last_rev;
                 if self.gap_failures > MAX_GAP_RETRIES {
-                    self.last_rev = 0; // All anew, with the whole list.
+                    self.last_rev = 0; // Start over with a snapshot.
                 }
-                return Err(format!("event {} came after {last}", event.rev));
+                return Err(format!("gap in the events: {} after {last}", event.rev));
             }
             expected = event.rev;
         }
@@ -332,8 +343,8 @@
         Ok(if anew { merge_into_snapshot(list) } else { list })
     }
 
-    /// The board is at another address: a poll that is out is forgotten, and the new one is asked soon for what
-    /// follows the last whole event.
+    /// Takes over another discovery address. Forgets an outstanding poll and polls the new address soon, for
+    /// the events after the last complete response.
     pub fn address_changed(&mut self, now: Millis) {
         self.failures = 0;
         self.next_poll_at = now + ADDRESS_CHANGE_SPREAD_MS * self.jitter_fraction();
@@ -341,7 +352,8 @@
         self.polled_at = None;
     }
 
-    /// The poll has failed: the list stands, and it is resumed from the last event, the first time at once.
+    /// Records a failed poll. The list of machines stays as it is, and polling resumes after the last event,
+    /// the first time at once.
     pub fn poll_failed(&mut self, now: Millis) {
         let [first, most] = BACKOFF_MS;
         let wait = if self.failures == 0 { 0.0 } else { first * 2.0_f64.powi(self.failures.min(10) as i32) };
@@ -351,15 +363,15 @@
         self.polled_at = None;
     }
 
-    /// Of this router's own, and another one each time.
+    /// A deterministic random fraction from 0 to 1, different for each router and each number of failures.
     fn jitter_fraction(&self) -> f64 {
         let turn = u64::from(self.failures).to_le_bytes();
         XxHash64::oneshot(self.seed, &turn) as f64 / u64::MAX as f64
     }
 }
 
-/// Changes that come with the whole list before them are one list: what was so in between is over, and nobody is to act
-/// on it, say by closing the connections to an endpoint that is back by now.
+/// Merges changes that come together with a snapshot into the snapshot. Acting on the states in between would
+/// be wrong, for example by closing connections to an endpoint that is back by now.
 fn merge_into_snapshot(list: Vec<DiscoveryEvent>) -> Vec<DiscoveryEvent> {
     let mut merged: Vec<DiscoveryEvent> = Vec::with_capacity(list.len());
     let mut into = None;
--- a/tests/discovery.rs
+++ b/tests/discovery.rs
@@ -1,4 +1,4 @@
-//! The notice board's answers, wherever they are split, and the config that holds its first events.
+//! Responses of the discovery service, split at any byte, and the config with the first events.
 
 use frostturn::api::*;
 use frostturn::clock::UnixTime;
@@ -25,7 +25,7 @@
     "127.0.0.9:7001","zone":"east","type":"std","group":2,"status":"leaving","weight":4,"since_ms":1764576000123}]}}"#;
 
 #[test]
-fn answers_are_read_wherever_they_are_split() {
+fn responses_are_parsed_wherever_they_are_split() {
     let plain = answer(&events(&[POOL.to_owned(), purge(42)]));
     let body = events(&[POOL.to_owned(), purge(42)]);
     let (first, second) = body.split_at(30);
@@ -40,7 +40,7 @@
         assert!(asked.starts_with(b"GET /board/poll?watch=3&linger="));
         let mut response = None;
         for byte in &bytes {
-            assert!(response.is_none(), "not before it is whole");
+            assert!(response.is_none(), "not before the response is complete");
             response = response.or(client.feed(0.0, &[*byte], false).expect("readable"));
         }
         let response = response.expect("whole").events;
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn events_come_in_order_once_and_a_gap_is_asked_for_again() {
+fn events_are_returned_once_in_order_and_gaps_are_requested_again() {
     let mut client = DiscoveryClient::new(40, 1);
     let address = ([127, 0, 0, 1], 9092).into();
     let mut feed = |notices: &[String]| {
@@ -70,14 +70,14 @@
     assert_eq!(revisions(feed(&[purge(42), purge(41), purge(40)])), [41, 42]);
     assert!(feed(&[purge(44)]).is_err(), "43 is missing");
     assert_eq!(revisions(feed(&[purge(43), purge(44)])), [43, 44]);
-    // A gap that stays: then all is asked for anew.
+    // If the gap persists, everything is requested anew.
     (0..4).for_each(|_| assert!(feed(&[purge(50)]).is_err()));
     let asked = client.poll(0.0, address);
     assert!(asked.starts_with(b"GET /board/poll?watch=0&"));
 }
 
 #[test]
-fn a_failed_poll_is_resumed_at_once_and_then_more_and_more_slowly() {
+fn failed_polls_are_retried_at_once_and_then_with_growing_delays() {
     let mut client = DiscoveryClient::new(5, 1);
     let address = ([127, 0, 0, 1], 9092).into();
     let mut waits = Vec::new();
@@ -93,12 +93,13 @@
     assert!(waits[0] == 0.0 && waits[1] > 0.0 && waits[2] > waits[1] && waits[2] <= 500.0, "{waits:?}");
     client.poll(2000.0, address);
     assert_eq!(client.feed(2000.0, &answer(&events(&[])), false), Ok(Some(PollResponse::default())));
-    assert_eq!(client.next_poll_at, 2000.0, "and after an answer at once again");
+    assert_eq!(client.next_poll_at, 2000.0, "after an answer the next poll follows at once");
 }
 
 #[test]
-fn two_silences_in_a_row_are_over_before_what_the_board_says_counts_as_told() {
-    // The platform's page: 7 s, whether it has come or not. Endpoints that drain get no second more in the settings.
+fn two_unanswered_polls_in_a_row_end_before_an_announcement_binds() {
+    // Platform rule: an announcement binds after 7 s, whether it has arrived or not; the settings add no time
+    // for draining machines.
     let mut client = DiscoveryClient::new(5, 1);
     let address = ([127, 0, 0, 1], 9092).into();
     let mut now = 0.0;
@@ -109,12 +110,12 @@
         client.poll_failed(now);
         now = client.next_poll_at;
     }
-    assert!(now < 6000.0, "the third is out by then: {now}");
+    assert!(now < 6000.0, "the third poll is sent by then: {now}");
 }
 
 #[test]
-fn hundreds_of_routers_that_fail_at_the_same_moment_come_apart() {
-    // The board refuses all calls for 8 s, from one moment on.
+fn hundreds_of_routers_that_fail_together_poll_at_different_times() {
+    // The service refuses all polls for 8 s, starting at the same moment for all routers.
     let mut calls: Vec<f64> = Vec::new();
     for seed in 0..300 {
         let mut client = DiscoveryClient::new(5, seed);
@@ -129,7 +130,7 @@
     let most = (20..80).map(|at| f64::from(at) * 100.0);
     let most = most.map(|from| calls.iter().filter(|at| (from..from + 100.0).contains(*at)).count()).max();
     assert!(calls.len() < 300 * 40, "bounded: {}", calls.len());
-    assert!(most < Some(130), "a hundredth of a second's calls each, not all at once: {most:?}");
+    assert!(most < Some(130), "polls within any 100 ms, not all at once: {most:?}");
     let mut moved: Vec<u64> = (0..300)
         .map(|seed| {
             let mut client = DiscoveryClient::new(5, seed);
@@ -138,11 +139,11 @@
         })
         .collect();
     moved.dedup();
-    assert!(moved.len() > 100, "nor when another board is named to all");
+    assert!(moved.len() > 100, "spread as well when all get another address");
 }
 
 #[test]
-fn numbers_that_begin_anew_are_followed_and_the_whole_list_comes_as_one() {
+fn a_restarted_numbering_is_followed_and_changes_are_merged_into_its_snapshot() {
     let mut client = DiscoveryClient::new(9, 1);
     let address = ([127, 0, 0, 1], 9092).into();
     client.poll(0.0, address);
@@ -158,14 +159,14 @@
     let all =
         [first, change(2, "s-1", "left"), purge(3), change(4, "s-2", "leaving"), change(5, "s-1", "active")];
     let response = client.feed(0.0, &answer(&events(&all)), false).expect("readable").expect("whole");
-    assert_eq!(response.events.len(), 2, "a list and a purge: {response:?}");
+    assert_eq!(response.events.len(), 2, "a snapshot and a purge: {response:?}");
     let Some(Announcement::Pool { snapshot: true, machines }) = &response.events[0].announcement else {
         panic!("{response:?}")
     };
     let states: Vec<_> = machines.iter().map(|one| (one.name.as_str(), one.phase)).collect();
     assert_eq!(states, [("s-2", Phase::Draining), ("s-1", Phase::Serving)]);
     assert!(client.poll(0.0, address).starts_with(b"GET /board/poll?watch=5&"));
-    // Later changes come one by one, and an empty list takes all away.
+    // Later changes are returned one by one, and an empty snapshot removes all machines.
     let empty = r#"{"rev":7,"pool":{"snapshot":true,"endpoints":[]}}"#.to_owned();
     let response = client.feed(0.0, &answer(&events(&[change(6, "s-3", "active"), empty])), false);
     let response = response.expect("readable").expect("whole").events;
@@ -176,7 +177,7 @@
 }
 
 #[test]
-fn what_cannot_be_read_of_an_event_allows_nothing_and_more_than_was_asked_for_is_told() {
+fn unreadable_parts_are_read_restrictively_and_unexpected_data_is_reported() {
     let mut client = DiscoveryClient::new(0, 1);
     client.poll(0.0, ([127, 0, 0, 1], 9092).into());
     let entries = r#"{"name":"s-1","address":"127.0.0.9:7001","status":"resting"},{"name":"s-2","status":"active"},
@@ -191,14 +192,14 @@
     bytes.push(b'H');
     let response = client.feed(0.0, &bytes, false).expect("readable").expect("whole");
     assert!(response.unexpected_data);
-    assert_eq!(response.problems.len(), 4, "no more of them: {:?}", response.problems);
+    assert_eq!(response.problems.len(), 4, "a bounded number: {:?}", response.problems);
     let Some(Announcement::Pool { snapshot: true, machines }) = &response.events[0].announcement else {
         panic!("{response:?}")
     };
     assert!(machines.len() == 2 && machines.iter().all(|one| one.phase == Phase::Draining));
     let now =
         Announcement::Purge { object: Some("a".into()), group: 0, made_unix_ms: UnixTime(f64::INFINITY) };
-    assert_eq!(response.events[1].announcement, Some(now), "one of now");
+    assert_eq!(response.events[1].announcement, Some(now), "counts as made now");
     assert_eq!((&response.events[2].announcement, &response.events[3].announcement), (&None, &None));
 }
 
@@ -216,7 +217,7 @@
 }
 
 #[test]
-fn the_nested_settings_are_read_as_the_simulators_pairs_are() {
+fn nested_settings_are_parsed_like_the_simulators_pairs() {
     let config = config(|json| json).expect("a good config");
     let settings = &config.settings;
     assert_eq!((config.name.as_str(), config.seed, config.known_rev), ("n3", 0x8c1f_30d2_7a5b_e964, 41));
@@ -232,58 +233,58 @@
 }
 
 #[test]
-fn settings_that_are_missing_or_say_unknown_words_are_told_with_what_stands_instead() {
+fn missing_settings_and_unknown_keywords_give_warnings_that_name_the_fallback() {
     let good = config(|json| json).expect("a good config");
     let [missing] = &good.warnings[..] else { panic!("{:?}", good.warnings) };
     assert!(
-        missing.starts_with("missing, defaults stand: ") && missing.contains("Guarantees.ColdMs"),
+        missing.starts_with("missing settings, using defaults: ") && missing.contains("Guarantees.ColdMs"),
         "{missing}"
     );
     assert!(!missing.contains("MostTries") && !missing.contains("DialTimeoutMs"), "{missing}");
     assert!(
         good.settings.guarantees.purge_gone_ms >= 3_600_000.0,
-        "a purge binds where nobody says how long"
+        "without a setting a purge binds for long enough"
     );
     let changed = config(|json| {
         let json = json.replace("\"fragile\"", "\"sometimes\"").replace("\"Az\":\"east\"", "\"Az\":\"moon\"");
         let json = json.replace("\"retryable\"", "\"dedup\"").replace("\"MostTries\":6,", "");
         json.replace("\"MachineTypes\"", "\"Discovery\":\"rumour\",\"NewKey\":[1],\"MachineTypes\"")
     });
-    let changed = changed.expect("it can be lived with");
-    for told in [
-        "RequestClasses.1.Repeat is unknown: sometimes; fragile stands",
-        "Discovery is unknown: rumour; push stands",
-        "Az is none of the Localities: moon",
+    let changed = changed.expect("usable settings");
+    for expected in [
+        "RequestClasses.1.Repeat has the unknown value sometimes; using fragile",
+        "Discovery has the unknown value rumour; using push",
+        "Az is not one of the Localities: moon",
         "RequestClasses.0.DedupScope",
         "RequestClasses.0.DedupWindowMs",
         "Limits.MostTries",
     ] {
         assert!(
-            changed.warnings.iter().any(|warning| warning.contains(told)),
-            "{told}: {:?}",
+            changed.warnings.iter().any(|warning| warning.contains(expected)),
+            "{expected}: {:?}",
             changed.warnings
         );
     }
-    assert!(!changed.warnings.iter().any(|warning| warning.contains("NewKey")), "further keys may be added");
+    assert!(!changed.warnings.iter().any(|warning| warning.contains("NewKey")), "unknown keys are allowed");
     assert_eq!(changed.settings.classes[1].repeat, Repeat::Fragile);
-    assert_eq!(changed.settings.limits.max_attempts, 1, "none at all would serve nobody");
+    assert_eq!(changed.settings.limits.max_attempts, 1, "without any attempt no request would be served");
 }
 
 #[test]
-fn a_bad_config_is_told_in_one_line() {
+fn a_bad_config_gives_a_one_line_error() {
     for (from, to, why) in [
         ("{\"name\"", "[\"name\"", "not JSON"),
         ("127.0.0.1:7001", "nowhere", "listen is not an address"),
         ("8c1f30d27a5be964", "xyz", "seed"),
         ("\"settings\"", "\"other\"", "settings are missing"),
-        ("\"leaving\"", "\"resting\"", "known: s-1 has the status"),
-        ("\"RequestClasses\"", "\"Classes\"", "no class"),
+        ("\"leaving\"", "\"resting\"", "known: s-1 has an unknown status"),
+        ("\"RequestClasses\"", "\"Classes\"", "no request class"),
         ("300.0", "\"soon\"", "Limits.DialTimeoutMs is not a number"),
         ("300.0", "-300.0", "Limits.DialTimeoutMs is out of range: -300.0"),
         ("\"MostTries\":6", "\"MostTries\":1e9", "Limits.MostTries is out of range"),
         ("[0.0,8000.0]", "[0.0,-1]", "FamilyInfo.GoodForMs is out of range: -1"),
         ("\"HardLimitMs\":3000.0}", "\"Deadline\":3000.0}", "RequestClasses.0.HardLimitMs is missing"),
-        ("\"swap\"", "\"page\"", "RequestClasses.1.Name is missing or that of another class"),
+        ("\"swap\"", "\"page\"", "RequestClasses.1.Name is missing or a duplicate: page"),
         ("\"Worth\":3.0", "\"LateWorth\":3.0", "RequestClasses.1.LateWorth is out of range: 3.0"),
     ] {
         let error = config(|json| json.replacen(from, to, 1)).expect_err(why);
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -1,6 +1,6 @@
-//! Settings drawn within what the wire page allows, each played through a short day in simulated time by the reducer and
-//! the module; a checker of its own holds every step against the settings. A module that is told other settings than the
-//! checker, as if it ignored one, is found.
+//! Random settings within the wire protocol's bounds. For each, the reducer and the decision module run
+//! through a short simulated day while an independent checker compares every step with the settings. A module
+//! that gets other settings than the checker, as if it ignored one, must be found.
 
 mod common;
 
@@ -16,11 +16,11 @@
 const UNIX_MS: Millis = 1.7e12;
 const STEP_MS: Millis = 5.0;
 const STEPS: usize = 900;
-/// The protocol page: each time limit is so much longer on sockets.
+/// The protocol specification: each time limit is longer by this much on sockets.
 const SLACK_MS: Millis = 50.0;
 
-/// Endpoints: own branch, another branch, parents, origin.
-const ENDS: [(&str, &str, &str); 9] = [
+/// Endpoints: own zone, another zone, parents, origin.
+const ENDPOINTS: [(&str, &str, &str); 9] = [
     ("e1", "std", "east"),
     ("e2", "std", "east"),
     ("e3", "std", "east"),
@@ -41,25 +41,25 @@
 impl Arbitrary for Drawn {
     fn arbitrary(g: &mut Gen) -> Self {
         let seed = u64::arbitrary(g) | 1;
-        let mut chance = chances(seed);
+        let mut random = random_numbers(seed);
         let mut class = |at: usize| {
-            let deadline_ms = 400.0 + chance(3600) as f64;
-            let fresh_ms = (chance(2) == 0).then(|| 200.0 + chance(5000) as f64);
+            let deadline_ms = 400.0 + random(3600) as f64;
+            let fresh_ms = (random(2) == 0).then(|| 200.0 + random(5000) as f64);
             ClassSettings {
                 name: format!("class{at}"),
-                aim_ms: 50.0 + chance(600) as f64,
-                aim_stretch: chance(3) as f64,
+                aim_ms: 50.0 + random(600) as f64,
+                aim_stretch: random(3) as f64,
                 deadline_ms,
-                repeat: match chance(5) {
+                repeat: match random(5) {
                     0 => Repeat::Fragile,
-                    1 => Repeat::Dedup { scope: DedupScope::All, window_ms: 50.0 + chance(1500) as f64 },
-                    2 => Repeat::Dedup { scope: DedupScope::Cell, window_ms: 50.0 + chance(1500) as f64 },
+                    1 => Repeat::Dedup { scope: DedupScope::All, window_ms: 50.0 + random(1500) as f64 },
+                    2 => Repeat::Dedup { scope: DedupScope::Cell, window_ms: 50.0 + random(1500) as f64 },
                     _ => Repeat::Retryable,
                 },
                 worth: 1.0,
                 fresh_ms,
-                stale_ms: fresh_ms.map_or(0.0, |_| chance(2000) as f64),
-                uncached: chance(4) == 0,
+                stale_ms: fresh_ms.map_or(0.0, |_| random(2000) as f64),
+                uncached: random(4) == 0,
                 ..ClassSettings::default()
             }
         };
@@ -67,37 +67,37 @@
         let settings = Settings {
             zone: Some("east".into()),
             zones: vec!["hub".into(), "east".into(), "west".into()],
-            routers_by_zone: vec![0, 1 + chance(3) as u32, 1],
+            routers_by_zone: vec![0, 1 + random(3) as u32, 1],
             zone_hubs: vec![0, 0, 0],
-            routers: 2 + chance(300) as u32,
+            routers: 2 + random(300) as u32,
             classes,
             parent_kind: Some("up".into()),
             origin_kind: Some("root".into()),
-            bypass_allowed: chance(2) == 0,
-            joins: chance(2) == 0,
-            detail: [Detail::All, Detail::Hit, Detail::Silent][chance(3) as usize],
-            siblings: [Siblings::None, Siblings::Location, Siblings::Any][chance(3) as usize],
-            flow_kb_per_s: Some(2000.0 + chance(10_000) as f64),
-            weights: [Weights::Silent, Weights::Nominal, Weights::Rough][chance(3) as usize],
+            bypass_allowed: random(2) == 0,
+            joins: random(2) == 0,
+            detail: [Detail::All, Detail::Hit, Detail::Silent][random(3) as usize],
+            siblings: [Siblings::None, Siblings::Location, Siblings::Any][random(3) as usize],
+            flow_kb_per_s: Some(2000.0 + random(10_000) as f64),
+            weights: [Weights::Silent, Weights::Nominal, Weights::Rough][random(3) as usize],
             guarantees: Guarantees {
-                stop_sending_ms: 300.0 + chance(2000) as f64,
-                cold_from: 0.05 + chance(50) as f64 / 100.0,
-                cold_ms: 500.0 + chance(15_000) as f64,
-                fall_multiple: 1.0 + chance(4) as f64,
+                stop_sending_ms: 300.0 + random(2000) as f64,
+                cold_from: 0.05 + random(50) as f64 / 100.0,
+                cold_ms: 500.0 + random(15_000) as f64,
+                fall_multiple: 1.0 + random(4) as f64,
                 overload_ms: 1000.0,
                 parent_cold_from: 0.05,
                 parent_cold_ms: 10_000.0,
                 parent_fall_multiple: 2.0,
-                purge_notice_ms: 200.0 + chance(1000) as f64,
+                purge_notice_ms: 200.0 + random(1000) as f64,
                 purge_gone_ms: 6000.0,
                 ..Guarantees::default()
             },
             limits: Limits {
-                max_attempts: 1 + chance(6) as usize,
-                cancelling: chance(2) == 0,
-                second_copies: chance(2) == 0,
-                retry_after: chance(2) == 0,
-                max_retry_after_ms: 100.0 + chance(2000) as f64,
+                max_attempts: 1 + random(6) as usize,
+                cancelling: random(2) == 0,
+                second_copies: random(2) == 0,
+                retry_after: random(2) == 0,
+                max_retry_after_ms: 100.0 + random(2000) as f64,
                 ..Limits::default()
             },
             ..Settings::default()
@@ -106,7 +106,7 @@
     }
 }
 
-fn chances(seed: u64) -> impl FnMut(u64) -> u64 {
+fn random_numbers(seed: u64) -> impl FnMut(u64) -> u64 {
     let mut state = seed.wrapping_mul(0x9E37_79B9_7F4A_7C15) | 1;
     move |most| {
         state ^= state << 13;
@@ -116,60 +116,60 @@
     }
 }
 
-/// The cell of an endpoint: every other one stands in the same.
+/// Returns the cell of an endpoint: every second one is in the same cell.
 fn cell(name: &str) -> u64 {
-    ENDS.iter().position(|end| end.0 == name).map_or(0, |at| at as u64 % 2)
+    ENDPOINTS.iter().position(|end| end.0 == name).map_or(0, |at| at as u64 % 2)
 }
 
-/// An attempt as the world has it.
+/// An attempt as the simulated machines see it.
 #[derive(Clone, Debug)]
-struct Tried {
+struct AttemptState {
     request: u64,
     cell: u64,
     leave_by: Millis,
     written: Option<Millis>,
-    /// Proved never to have run.
-    unrun: bool,
-    /// When it was over, or given up.
-    over: Option<Millis>,
+    /// The attempt is proved never to have run.
+    never_ran: bool,
+    /// When the attempt ended or was given up.
+    ended_at: Option<Millis>,
 }
 
-struct Asked {
+struct RequestState {
     class: usize,
     group: u64,
     object: String,
-    due: Millis,
+    deadline: Millis,
 }
 
-/// The rules by the settings, and what breaks them.
+/// Checks each step against the settings and collects the rules that were broken.
 struct Checker {
     settings: Settings,
     now: Millis,
-    tried: BTreeMap<AttemptKey, Tried>,
-    asked: BTreeMap<u64, Asked>,
+    tried: BTreeMap<AttemptKey, AttemptState>,
+    asked: BTreeMap<u64, RequestState>,
     phases: BTreeMap<String, Phase>,
     purges: Vec<(Option<String>, u64, Millis)>,
     broken: Vec<&'static str>,
 }
 
 impl Checker {
-    fn hold(&mut self, rule: &'static str, kept: bool) {
+    fn require(&mut self, rule: &'static str, kept: bool) {
         if !kept && !self.broken.contains(&rule) {
             self.broken.push(rule);
         }
     }
 
-    fn of(&self, request: u64) -> Vec<Tried> {
+    fn of(&self, request: u64) -> Vec<AttemptState> {
         self.tried.values().filter(|tried| tried.request == request).cloned().collect()
     }
 
     fn sent(&mut self, attempt: AttemptKey, client: u64, call: &Call) {
         let (fetch, now) = (&call.fetch, self.now);
         let Some(asked) = self.asked.get(&client) else {
-            return self.hold("sent for a request that is over", false);
+            return self.require("sent for a finished request", false);
         };
         let class = self.settings.classes[asked.class].clone();
-        let place = |name: &str| ENDS.iter().find(|end| end.0 == name).copied().expect("listed");
+        let place = |name: &str| ENDPOINTS.iter().find(|end| end.0 == name).copied().expect("listed");
         let (_, kind, zone) = place(fetch.cache.as_str());
         let source = (fetch.source != fetch.cache).then(|| place(fetch.source.as_str()));
         let purge = |(object, group, _): &&(Option<String>, u64, Millis)| match object {
@@ -179,84 +179,91 @@
         let purged = self.purges.iter().filter(purge).map(|(.., at)| *at).reduce(f64::max);
         let (siblings, may_bypass) = (self.settings.siblings, self.settings.bypass_allowed);
         let before = self.of(client);
-        let ran: Vec<&Tried> =
-            before.iter().filter(|tried| tried.written.is_some() && !tried.unrun).collect();
-        let out = before.iter().filter(|tried| tried.over.is_none()).count();
+        let ran: Vec<&AttemptState> =
+            before.iter().filter(|tried| tried.written.is_some() && !tried.never_ran).collect();
+        let out = before.iter().filter(|tried| tried.ended_at.is_none()).count();
         let cell = cell(fetch.cache.as_str());
-        self.hold("attempts", before.len() < self.settings.limits.max_attempts);
-        self.hold("bypass", kind == "std" || may_bypass);
-        self.hold("branch", kind != "std" || zone == "east");
+        self.require("attempts", before.len() < self.settings.limits.max_attempts);
+        self.require("bypass", kind == "std" || may_bypass);
+        self.require("branch", kind != "std" || zone == "east");
         let sibling = source.is_none_or(|(_, kind, zone)| match siblings {
             _ if kind != "std" => true,
             Siblings::None => false,
             Siblings::Location => zone == "east",
             Siblings::Any => true,
         });
-        self.hold("siblings", sibling);
-        self.hold("joins", self.settings.joins || !fetch.join);
-        self.hold("kept", !class.uncached || fetch.keep == Keep::No);
+        self.require("siblings", sibling);
+        self.require("joins", self.settings.joins || !fetch.join);
+        self.require("kept", !class.uncached || fetch.keep == Keep::No);
         for name in [Some(fetch.cache.as_str()), source.map(|source| source.0)].into_iter().flatten() {
-            self.hold("drain", self.phases.get(name) == Some(&Phase::Serving));
+            self.require("drain", self.phases.get(name) == Some(&Phase::Serving));
         }
         let notice = self.settings.guarantees.purge_notice_ms;
         let young = |at: Millis| fetch.max_age_ms.is_some_and(|age| now - age >= at);
-        self.hold("purge", purged.is_none_or(|at| now - at <= notice || young(at)));
+        self.require("purge", purged.is_none_or(|at| now - at <= notice || young(at)));
         let oldest = class.fresh_ms.map(|fresh| fresh + class.stale_ms);
-        self.hold("age", oldest.is_none_or(|most| fetch.max_age_ms.is_some_and(|age| age <= most)));
+        self.require("age", oldest.is_none_or(|most| fetch.max_age_ms.is_some_and(|age| age <= most)));
         let copies = self.settings.limits.second_copies && class.repeat == Repeat::Retryable;
-        self.hold("two at once", out == 0 || (copies && out == 1));
-        let apart = |tried: &Tried| tried.over.is_none_or(|at| now >= at + SLACK_MS - 1.0);
-        let given_up = |tried: &&Tried| tried.written.is_some() && !tried.unrun && !apart(tried);
+        self.require("two at once", out == 0 || (copies && out == 1));
+        let apart = |tried: &AttemptState| tried.ended_at.is_none_or(|at| now >= at + SLACK_MS - 1.0);
+        let given_up = |tried: &&AttemptState| tried.written.is_some() && !tried.never_ran && !apart(tried);
         let again = self.settings.limits.second_copies || !before.iter().any(|tried| given_up(&tried));
-        self.hold("apart", again);
+        self.require("apart", again);
         let may = match class.repeat {
             Repeat::Retryable => true,
             Repeat::Fragile => ran.is_empty(),
             Repeat::Dedup { scope, .. } => ran.iter().all(|one| scope == DedupScope::All || one.cell == cell),
         };
-        self.hold("effect", may);
-        let tried =
-            Tried { request: client, cell, leave_by: call.leave_by, written: None, unrun: false, over: None };
+        self.require("effect", may);
+        let tried = AttemptState {
+            request: client,
+            cell,
+            leave_by: call.leave_by,
+            written: None,
+            never_ran: false,
+            ended_at: None,
+        };
         self.tried.insert(attempt, tried);
     }
 
-    /// An attempt's bytes leave now.
-    fn left(&mut self, attempt: AttemptKey) {
+    /// Records that an attempt's bytes are written now.
+    fn written(&mut self, attempt: AttemptKey) {
         let tried = self.tried[&attempt].clone();
         let class = self.settings.classes[self.asked[&tried.request].class].repeat;
         let first = self
             .of(tried.request)
             .iter()
-            .filter(|one| !one.unrun)
+            .filter(|one| !one.never_ran)
             .filter_map(|one| one.written)
             .reduce(f64::min);
         if let (Repeat::Dedup { window_ms, .. }, Some(first)) = (class, first) {
-            self.hold("window", self.now <= first + window_ms + SLACK_MS);
+            self.require("window", self.now <= first + window_ms + SLACK_MS);
         }
         self.tried.entry(attempt).and_modify(|tried| tried.written = Some(self.now));
     }
 
     fn answered(&mut self, client: u64, reply: &Reply) {
         let Some(asked) = self.asked.remove(&client) else {
-            return self.hold("answered twice, or for nobody", false);
+            return self.require("answered twice, or without a request", false);
         };
         let class = &self.settings.classes[asked.class];
         let (repeat, limits) = (class.repeat, self.settings.limits.clone());
-        self.hold("in time", self.now <= asked.due + SLACK_MS);
+        self.require("in time", self.now <= asked.deadline + SLACK_MS);
         if let Reply::Refused { hold_off_ms, .. } = reply {
             let free = matches!(repeat, Repeat::Retryable | Repeat::Dedup { scope: DedupScope::All, .. });
-            let ran = self.of(client).iter().any(|tried| tried.written.is_some() && !tried.unrun);
-            self.hold("refusal", free || !ran);
+            let ran = self.of(client).iter().any(|tried| tried.written.is_some() && !tried.never_ran);
+            self.require("refusal", free || !ran);
             let advised = hold_off_ms.is_none_or(|ms| limits.retry_after && ms <= limits.max_retry_after_ms);
-            self.hold("retry after", advised);
+            self.require("retry after", advised);
         }
     }
 }
 
-/// Plays a day with the module told `told`, checked by `drawn`; what was broken.
-fn play(drawn: &Drawn, told: Settings) -> Vec<&'static str> {
-    let mut chance = chances(drawn.seed ^ 0x55);
-    let mut reducer = Reducer::new(told, net(), drawn.seed, START_MS, UnixTime(UNIX_MS));
+/// Simulates a day in which the module has the settings `given` and the checker those of `drawn`. Returns the
+/// broken rules.
+fn play(drawn: &Drawn, given: Settings) -> Vec<&'static str> {
+    let mut random = random_numbers(drawn.seed ^ 0x55);
+    let mut reducer = Reducer::new(given, net(), drawn.seed, START_MS, UnixTime(UNIX_MS));
     let mut check = Checker {
         settings: drawn.settings.clone(),
         now: START_MS,
@@ -272,37 +279,37 @@
         ..listed(end.0, end.1, phase)
     };
     let (mut rev, mut serial) = (1, 0);
-    let list = ENDS.iter().map(|end| machine(end, Phase::Serving)).collect();
-    check.phases.extend(ENDS.iter().map(|end| (end.0.to_owned(), Phase::Serving)));
+    let list = ENDPOINTS.iter().map(|end| machine(end, Phase::Serving)).collect();
+    check.phases.extend(ENDPOINTS.iter().map(|end| (end.0.to_owned(), Phase::Serving)));
     let announcement = Some(Announcement::Pool { snapshot: true, machines: list });
     let mut inputs =
         vec![Input::Notice { notice: DiscoveryEvent { rev, announcement }, unix: UnixTime(UNIX_MS) }];
     for step in 0..STEPS {
         check.now = START_MS + step as f64 * STEP_MS;
         let unix = UnixTime(UNIX_MS + check.now - START_MS);
-        let tells = |rev: &mut u64, announcement| {
+        let discovery_event = |rev: &mut u64, announcement| {
             *rev += 1;
             Input::Notice { notice: DiscoveryEvent { rev: *rev, announcement: Some(announcement) }, unix }
         };
         let out: Vec<AttemptKey> =
-            check.tried.iter().filter(|(_, tried)| tried.over.is_none()).map(|(key, _)| *key).collect();
-        let one = (!out.is_empty()).then(|| out[chance(out.len().max(1) as u64) as usize]);
-        match (chance(20), one) {
+            check.tried.iter().filter(|(_, tried)| tried.ended_at.is_none()).map(|(key, _)| *key).collect();
+        let one = (!out.is_empty()).then(|| out[random(out.len().max(1) as u64) as usize]);
+        match (random(20), one) {
             (0..=4, _) => {
                 serial += 1;
-                let class = chance(3) as usize;
+                let class = random(3) as usize;
                 let settings = &drawn.settings.classes[class];
-                let timeout_ms = settings.deadline_ms * (0.5 + chance(50) as f64 / 100.0);
-                let (object, group) = (format!("o{}", chance(6)), chance(3));
-                let due = check.now + timeout_ms;
-                check.asked.insert(serial, Asked { class, group, object: object.clone(), due });
+                let timeout_ms = settings.deadline_ms * (0.5 + random(50) as f64 / 100.0);
+                let (object, group) = (format!("o{}", random(6)), random(3));
+                let deadline = check.now + timeout_ms;
+                check.asked.insert(serial, RequestState { class, group, object: object.clone(), deadline });
                 let ask = Ask {
                     id: format!("{serial:016x}"),
                     class: settings.name.clone(),
                     timeout_ms,
                     object: Some(object),
                     group,
-                    size_kb: (chance(2) == 0).then(|| 1.0 + chance(500) as f64),
+                    size_kb: (random(2) == 0).then(|| 1.0 + random(500) as f64),
                     ..Ask::default()
                 };
                 let client = Client { conn: 1, serial };
@@ -312,24 +319,24 @@
                 if check.tried[&attempt].leave_by < check.now {
                     inputs.push(Input::Ended { attempt, end: End::Withheld(Withheld::TooLate) });
                     check.tried.entry(attempt).and_modify(|tried| {
-                        (tried.unrun, tried.over) = (true, Some(check.now));
+                        (tried.never_ran, tried.ended_at) = (true, Some(check.now));
                     });
                 } else {
-                    check.left(attempt);
+                    check.written(attempt);
                     inputs.push(Input::Progressed { attempt, progress: Progress::WrittenWhole });
                 }
             }
             (5..=12, Some(attempt)) if check.tried[&attempt].written.is_some() => {
                 let outcome = [Outcome::Ok, Outcome::Ok, Outcome::Miss, Outcome::Full, Outcome::Error]
-                    [chance(5) as usize];
-                let unrun = matches!(outcome, Outcome::Miss | Outcome::Full);
-                // Written at its end: nothing of it is out any more.
-                let over = check.now - SLACK_MS;
+                    [random(5) as usize];
+                let never_ran = matches!(outcome, Outcome::Miss | Outcome::Full);
+                // The answer ends the attempt: nothing of it is outstanding.
+                let ended_at = check.now - SLACK_MS;
                 check
                     .tried
                     .entry(attempt)
-                    .and_modify(|tried| (tried.unrun, tried.over) = (unrun, Some(over)));
-                let (note, report) = ((chance(3) == 0).then_some(Note::Filled), LoadReport::default());
+                    .and_modify(|tried| (tried.never_ran, tried.ended_at) = (never_ran, Some(ended_at)));
+                let (note, report) = ((random(3) == 0).then_some(Note::Filled), LoadReport::default());
                 let answer = Answer {
                     outcome,
                     body: vec![1; 9],
@@ -344,29 +351,32 @@
                 let written = check.tried[&attempt].written.is_some();
                 let progress = if written { Progress::WrittenWhole } else { Progress::NotConnected };
                 check.tried.entry(attempt).and_modify(|tried| {
-                    (tried.unrun, tried.over) = (!written, Some(check.now));
+                    (tried.never_ran, tried.ended_at) = (!written, Some(check.now));
                 });
                 inputs.push(Input::Ended { attempt, end: End::Lost(progress) });
             }
             (14, _) if !check.asked.is_empty() => {
-                let serial = *check.asked.keys().nth(chance(check.asked.len() as u64) as usize).expect("one");
+                let serial = *check.asked.keys().nth(random(check.asked.len() as u64) as usize).expect("one");
                 check.asked.remove(&serial);
                 inputs.push(Input::Aborted { client: Client { conn: 1, serial } });
             }
             (15, _) => {
-                let end = &ENDS[chance(ENDS.len() as u64) as usize];
+                let end = &ENDPOINTS[random(ENDPOINTS.len() as u64) as usize];
                 let phase =
-                    [Phase::Serving, Phase::Serving, Phase::Draining, Phase::Deleted][chance(4) as usize];
+                    [Phase::Serving, Phase::Serving, Phase::Draining, Phase::Deleted][random(4) as usize];
                 check.phases.insert(end.0.to_owned(), phase);
-                let since_unix_ms = (chance(3) == 0).then_some(unix);
+                let since_unix_ms = (random(3) == 0).then_some(unix);
                 let machines = vec![ListedMachine { since_unix_ms, ..machine(end, phase) }];
-                inputs.push(tells(&mut rev, Announcement::Pool { snapshot: false, machines }));
+                inputs.push(discovery_event(&mut rev, Announcement::Pool { snapshot: false, machines }));
             }
             (16, _) => {
-                let object = (chance(2) == 0).then(|| format!("o{}", chance(6)));
-                let group = chance(3);
+                let object = (random(2) == 0).then(|| format!("o{}", random(6)));
+                let group = random(3);
                 check.purges.push((object.clone(), group, check.now));
-                inputs.push(tells(&mut rev, Announcement::Purge { object, group, made_unix_ms: unix }));
+                inputs.push(discovery_event(
+                    &mut rev,
+                    Announcement::Purge { object, group, made_unix_ms: unix },
+                ));
             }
             _ => {}
         }
@@ -375,14 +385,14 @@
             for effect in reducer.step(check.now, input) {
                 match effect {
                     Effect::Send { attempt, call, .. } => {
-                        let client = u64::from_str_radix(&call.ask.id, 16).expect("ours");
+                        let client = u64::from_str_radix(&call.ask.id, 16).expect("an id of this test");
                         check.sent(attempt, client, &call);
                     }
                     Effect::Stop { attempt } => {
                         let now = check.now;
                         check.tried.entry(attempt).and_modify(|tried| {
-                            tried.unrun |= tried.written.is_none();
-                            tried.over = tried.over.or(Some(now));
+                            tried.never_ran |= tried.written.is_none();
+                            tried.ended_at = tried.ended_at.or(Some(now));
                         });
                     }
                     Effect::Answer { client, reply } => check.answered(client.serial, &reply),
@@ -391,14 +401,14 @@
             }
         }
         let now = check.now;
-        let overdue = check.asked.values().any(|asked| now > asked.due + SLACK_MS);
-        check.hold("in time", !overdue);
+        let overdue = check.asked.values().any(|asked| now > asked.deadline + SLACK_MS);
+        check.require("in time", !overdue);
     }
     check.broken
 }
 
 #[test]
-fn whatever_the_settings_say_the_module_and_the_reducer_keep_to_them() {
+fn the_module_and_the_reducer_obey_any_settings() {
     fn property(drawn: Drawn) -> bool {
         let broken = play(&drawn, drawn.settings.clone());
         assert!(broken.is_empty(), "{broken:?}");
@@ -409,7 +419,7 @@
 }
 
 #[test]
-fn a_module_that_ignores_a_setting_is_found() {
+fn a_module_that_ignores_a_setting_is_detected() {
     type Ignore = fn(&mut Settings);
     let ignores: [(&str, Ignore); 13] = [
         ("attempts", |s| s.limits.max_attempts += 2),
@@ -442,10 +452,10 @@
     let draws: Vec<Drawn> = (0..60).map(|_| Drawn::arbitrary(&mut draws)).collect();
     for (rule, ignore) in ignores {
         let found = draws.iter().any(|drawn| {
-            let mut told = drawn.settings.clone();
-            ignore(&mut told);
-            play(drawn, told).contains(&rule)
+            let mut given = drawn.settings.clone();
+            ignore(&mut given);
+            play(drawn, given).contains(&rule)
         });
-        assert!(found, "nothing notices that {rule} is ignored");
+        assert!(found, "no check detects that {rule} is ignored");
     }
 }
