--- a/src/back/connection.rs
+++ b/src/back/connection.rs
@@ -1,4 +1,5 @@
-//! One connection: what is on it, how far that has come, and what its answers mean.
+//! State of one connection to a machine: the frames that are queued or outstanding on it, how far each has
+//! come, and the reading of the machine's answers.
 
 use super::wire::{parse_note, Fields};
 use super::{
@@ -15,52 +16,54 @@
 pub(super) enum Purpose {
     Attempt(AttemptKey),
     Probe,
-    /// Who is there, and whether it answers at all.
+    /// Verifies that the machine answers and, if names are verified, which machine it is.
     Greeting,
 }
 
 #[derive(Clone, Debug)]
 pub(super) struct Frame {
     pub(super) bytes: Vec<u8>,
-    /// What it says, if it is a request's: its time is worded anew as it leaves.
+    /// The attempt that this frame carries, if any: its time limit is encoded again when the frame is
+    /// written.
     pub(super) call: Option<Call>,
-    /// The id it opens; a STOP opens none.
+    /// The id under which an answer is expected; `None` for STOP.
     pub(super) opens_id: Option<String>,
-    /// It must not be repeated: what it shares a connection with could cost it its answer.
+    /// The attempt must not be repeated, so it shares its connection with no other: a fault of another answer
+    /// would cost it its own.
     pub(super) alone: bool,
-    /// How often it has moved on from a connection that closed.
+    /// How often the frame was moved from a connection that closed.
     pub(super) moves: u8,
 }
 
 #[derive(Debug)]
 pub(super) struct Connection {
     pub(super) machine: CacheId,
-    /// The way it goes, once it is up.
+    /// The endpoint that is connected.
     pub(super) endpoint: Option<Endpoint>,
-    /// The dials for it, until it is up.
+    /// The race of dials, until one is connected.
     pub(super) race: Option<DialRace>,
     pub(super) dialed_at: Millis,
     pub(super) connected_at: Option<Millis>,
-    /// It carries nothing until its machine has answered a greeting, for which it waits until then.
+    /// Deadline for the machine's answer to the greeting. Until it answers, no attempt or probe is sent.
     pub(super) greeting_deadline: Option<Millis>,
-    /// It is there to see whether this path works, until something is answered on it.
+    /// The endpoint that this connection tests after a failure; `None` once a request is answered over it.
     pub(super) trial: Option<Endpoint>,
-    /// Its silence was told to the book.
+    /// Whether this connection's silence was recorded as a failure of its endpoint.
     pub(super) silence_reported: bool,
     pub(super) retired: bool,
-    /// Since when something asked whole has met no sound at all.
+    /// When the wait for any byte began, if a completely written request is unanswered.
     pub(super) silent_since: Option<Millis>,
-    /// Since when it carries nothing.
+    /// When the connection last had something to send or receive.
     pub(super) idle_since: Millis,
     pub(super) output: VecDeque<Frame>,
     pub(super) written: usize,
     pub(super) outstanding: HashMap<String, Outstanding>,
-    /// Ids that are no longer open, and since when.
+    /// Ids that are no longer outstanding, with the time at which they were closed.
     pub(super) closed_ids: VecDeque<(String, Millis)>,
     pub(super) decoder: Decoder,
-    /// When something last came.
+    /// When bytes were last received.
     pub(super) last_received_at: Millis,
-    /// When the answer that is coming began to.
+    /// When the partial answer in the decoder began.
     pub(super) answer_started_at: Millis,
 }
 
@@ -78,7 +81,7 @@
 
     pub(super) fn accepts(&self, now: Millis, addresses: &AddressTable, id: &str, streams: usize) -> bool {
         let may_use = match (&self.trial, &self.endpoint) {
-            // One request at a time shows whether a path works again.
+            // A single request at a time tests whether the endpoint works again.
             (Some(tried), Some(_)) => {
                 self.greeting_deadline.is_none()
                     && self.outstanding.is_empty()
@@ -89,18 +92,19 @@
             (None, None) => true,
         };
         let free = self.outstanding.len() < streams && !self.outstanding.contains_key(id);
-        let fresh = !self.closed_ids.iter().any(|(past, _)| past == id); // Its late answer would be taken for ours.
+        // A late answer under this id would be taken for the new one's.
+        let fresh = !self.closed_ids.iter().any(|(past, _)| past == id);
         free && fresh && may_use && !self.retired && !self.is_unresponsive(now)
     }
 
-    /// Whether one more had better go elsewhere.
+    /// Whether a further request should rather go to another connection.
     pub(super) fn is_crowded(&self, alone: bool) -> bool {
         let max =
             if alone || self.outstanding.values().any(|open| open.alone) { 1 } else { CROWDED_ATTEMPTS };
         self.outstanding.len() >= max
     }
 
-    /// An id is no longer open: what still comes under it is no answer to a later request.
+    /// Closes an id: what still arrives under it is not the answer to a later request.
     pub(super) fn close_id(&mut self, now: Millis, id: String) {
         self.closed_ids.push_back((id, now));
         let [min, max] = CLOSED_IDS_KEPT;
@@ -112,7 +116,8 @@
         }
     }
 
-    /// When it is to be looked at: a dial takes too long, an answer stops short, or it has been idle.
+    /// Returns when the connection must be checked: a dial or greeting times out, an answer stalls, or the
+    /// connection has been idle for too long.
     pub(super) fn deadline(&self, idle_ms: Millis) -> Option<Millis> {
         match self.connected_at {
             None if self.retired && self.outstanding.is_empty() => Some(self.idle_since),
@@ -135,9 +140,12 @@
         frame: &[Vec<u8>],
         verify_name: bool,
     ) -> Result<EndpointEvent, ProtocolError> {
-        let [id, status, rest @ ..] = frame else { return Err(ProtocolError("an answer is cut short")) };
-        let id = std::str::from_utf8(id).map_err(|_| ProtocolError("an id can't be read"))?;
-        // An answer to what has not left whole is none: its frame would go on to open the id a second time.
+        let [id, status, rest @ ..] = frame else {
+            return Err(ProtocolError("answer with fewer than two parts"));
+        };
+        let id = std::str::from_utf8(id).map_err(|_| ProtocolError("answer id is not UTF-8"))?;
+        // Nothing can be answered before it is completely written. Accepting such an answer would free the
+        // id, which the frame would then open a second time.
         let asked = self.outstanding.get(id).filter(|open| open.progress == Progress::WrittenWhole);
         let Some(purpose) = asked.map(|open| open.purpose) else {
             let late = self.closed_ids.iter().any(|(past, _)| past == id);
@@ -147,9 +155,10 @@
             (Purpose::Probe | Purpose::Greeting, []) => (&b"-"[..], None),
             (Purpose::Probe | Purpose::Greeting, [fields, ..]) => (&fields[..], None),
             (Purpose::Attempt(_), [fields, body]) => (&fields[..], Some(body)),
-            _ => return Err(ProtocolError("an answer has other parts")),
+            _ => return Err(ProtocolError("answer with an unexpected number of parts")),
         };
-        let fields = Fields(std::str::from_utf8(fields).map_err(|_| ProtocolError("fields can't be read"))?);
+        let fields =
+            Fields(std::str::from_utf8(fields).map_err(|_| ProtocolError("answer fields are not UTF-8"))?);
         let report = fields.report();
         let outcome = match (purpose, status.as_slice()) {
             (Purpose::Probe | Purpose::Greeting, b"FIT") => Outcome::Ok,
@@ -159,7 +168,7 @@
             (Purpose::Attempt(_), b"WAIT") => Outcome::Full,
             (Purpose::Attempt(_), b"BROKE") => Outcome::Error,
             (Purpose::Attempt(_), b"PAST") => Outcome::Moot,
-            _ => return Err(ProtocolError("an answer says nothing that is known")),
+            _ => return Err(ProtocolError("unknown answer status")),
         };
         if purpose == Purpose::Greeting && verify_name && fields.get("name") != Some(self.machine.as_str()) {
             return Err(WRONG_NAME);
--- a/src/back/dials.rs
+++ b/src/back/dials.rs
@@ -1,4 +1,5 @@
-//! The ways of connections: races that are begun and go on, paths that fall mute, and what is left alone for it.
+//! Dialing of connections: runs the races of dials, detects unresponsive endpoints, and pauses endpoints that
+//! failed.
 
 use super::connection::{Connection, Outstanding, Purpose};
 use super::{
@@ -12,7 +13,7 @@
 use std::collections::{BTreeSet, HashMap, VecDeque};
 
 impl ConnectionPool {
-    /// What is to be dialled and closed now. To be asked again after each dial that ends.
+    /// Returns the dials to start and to close now. Must be called again after each dial that ends.
     pub fn poll_dials(&mut self, now: Millis) -> Vec<DialAction> {
         let mut actions = Vec::new();
         for (machine, endpoint) in self.addresses.start_trials(now) {
@@ -37,7 +38,8 @@
             let Some(connection) = self.connections.get_mut(key) else { continue };
             let Some(race) = &mut connection.race else { continue };
             let own = open_by_machine.entry(connection.machine.clone()).or_default();
-            // The ways may have changed since: by the board, a claim, a new file, or another's failure.
+            // The endpoints may have changed since: by a discovery event, a claim, new settings, or another
+            // connection's failure.
             let endpoints = match &connection.trial {
                 Some(tried) if self.addresses.may_dial(now, &connection.machine, tried) => {
                     vec![tried.clone()]
@@ -49,7 +51,8 @@
                 (open_in_all, *own) = (open_in_all - 1, *own - 1);
                 actions.push(DialAction::Close(dial));
             }
-            // Nobody waits for it any more: what was begun may come up and rest, but nothing is dialled anew.
+            // Nothing waits for this connection any more: open dials may still connect, but no new ones are
+            // started.
             if connection.retired || (connection.outstanding.is_empty() && connection.trial.is_none()) {
                 continue;
             }
@@ -79,7 +82,8 @@
         actions
     }
 
-    /// A dial has ended without a connection. To be followed by [`ConnectionPool::poll_dials`].
+    /// Handles a dial that ended without a connection. Must be followed by [`ConnectionPool::poll_dials`].
+    /// Returns the pause of its endpoint, if that is new.
     pub fn dial_failed(
         &mut self,
         now: Millis,
@@ -95,7 +99,7 @@
                 return None;
             }
             DialError::Unreachable if !race.has_others() => {
-                race.postpone_dial(now, dial, false); // The route may be back within the time that a dial has.
+                race.postpone_dial(now, dial, false); // The route may return within the dial timeout.
                 return None;
             }
             DialError::Unreachable => EndpointFailure::Unreachable,
@@ -105,8 +109,8 @@
         pause_endpoint(&mut self.addresses, now, &connection.machine, &endpoint, why)
     }
 
-    /// A dial is up: its connection goes on over it. What is to be closed and left for that; `None`: nobody
-    /// waits for it any more, and it is to be closed itself.
+    /// Handles a dial that connected; its connection continues over it. Returns the dials to close and the
+    /// endpoints paused for it, or `None` if nothing waits for this dial and it must be closed itself.
     pub fn dial_connected(
         &mut self,
         now: Millis,
@@ -114,7 +118,8 @@
         dial: DialKey,
     ) -> Option<Vec<DialAction>> {
         let connection = self.connections.get_mut(&key)?;
-        // Where there is another way, this one has as long to greet as it would have had to come up.
+        // If the machine has another endpoint, this one gets as long for the greeting as it had for
+        // connecting.
         let others = self.addresses.candidates(now, &connection.machine).len() > 1;
         let delay = self.addresses.settings().filter(|_| others).map(|settings| settings.attempt_delay_ms.1);
         let wait = delay.unwrap_or(GREETING_TIMEOUT_MS);
@@ -165,8 +170,10 @@
         Some(actions)
     }
 
-    /// What has just fallen mute: its path is left, and what has not begun to leave moves to another one. Only
-    /// where machines have several ways; else the next request shows it.
+    /// Handles connections that have just become unresponsive: pauses their endpoints and moves the frames
+    /// that are not written yet to other connections. Returns the pauses, and the connections that received
+    /// frames. Without address settings nothing is done here: the next request finds the connection
+    /// unresponsive.
     pub fn check_unresponsive(&mut self, now: Millis) -> (Vec<EndpointPause>, BTreeSet<ConnectionKey>) {
         let (mut pauses, mut moved) = (Vec::new(), BTreeSet::new());
         if self.addresses.settings().is_none() {
@@ -197,7 +204,7 @@
                 EndpointFailure::Unresponsive,
             ));
             if self.addresses.accepts_requests(now, &machine, &endpoint) {
-                continue; // There is no other way.
+                continue; // The machine has no other working endpoint.
             }
             let waits = |open: &Outstanding| matches!(open.purpose, Purpose::Attempt(_) | Purpose::Probe);
             let unsent = connection
@@ -229,7 +236,7 @@
         (pauses, moved)
     }
 
-    /// A new connection, to be dialled.
+    /// Adds a connection that is to be dialed.
     pub(super) fn open_connection(
         &mut self,
         now: Millis,
@@ -266,7 +273,7 @@
     }
 }
 
-/// Has the book leave a path alone; what there is to say of it.
+/// Records an endpoint's failure. Returns the pause, if it is new.
 pub(super) fn pause_endpoint(
     addresses: &mut AddressTable,
     now: Millis,
--- a/src/back/mod.rs
+++ b/src/back/mod.rs
@@ -1,7 +1,9 @@
-//! Connections to machines: what is on which, how far it has come, and which answer is whose.
+//! Connections to machines: which attempts and probes are on which connection, how far each has come, and
+//! which answer belongs to which.
 //!
-//! Where a machine may be reached is [`crate::addresses`]'s: a connection begins as a race of dials and goes on
-//! over the one that was up first. Frames wait for that, so that no byte is ever on a loser.
+//! [`crate::addresses`] knows where a machine can be reached. A connection begins as a race of dials and
+//! continues over the first one that connects. Frames are held until then, so that no byte is written on a
+//! dial that loses.
 
 mod connection;
 mod dials;
@@ -17,109 +19,110 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use wire::{encode_request, wire_limit_ms};
 
-/// A connection with something out that has said nothing for so long gets nothing more: its machine may have
-/// vanished, which nobody tells. A new connection shows it.
+/// A connection with unanswered requests that has received nothing for this long gets no further ones: its
+/// machine may have vanished without closing it. A new connection shows whether it has.
 const UNRESPONSIVE_MS: Millis = 500.0;
-/// An answer that has begun comes to its end without a longer pause than that: machines send it once they have it.
-/// One that stops short will never be whole, and hides all that would follow it.
+/// Longest pause within an answer: machines send an answer once they have all of it. An answer that stops
+/// short never completes, and blocks every answer behind it.
 const ANSWER_STALL_MS: Millis = 300.0;
-/// Nor does one take longer than that in all: a few bytes now and then would otherwise hide what follows for ever.
+/// Longest time for one answer in total; otherwise single bytes now and then could block the answers behind
+/// it forever.
 const ANSWER_TIMEOUT_MS: Millis = 1000.0;
-/// Times that an unsent attempt moves on when its connection closes.
+/// How often an unsent frame is moved when its connection closes.
 const MAX_MOVES: u8 = 3;
-/// Attempts on one connection from which another is opened beside it, and connections to one machine. One spoilt
-/// answer ends its connection with all that is on it, so few share one.
+/// Attempts on one connection from which a second one is opened, and connections per machine. Few attempts
+/// share a connection because one malformed answer closes it with all attempts on it.
 const CROWDED_ATTEMPTS: usize = 2;
 const MAX_CONNECTIONS_PER_MACHINE: usize = 8;
-/// Part of all connections from which no further one is opened beside others.
+/// Share of the maximum number of connections above which no machine gets a further one.
 const EXTRA_CONNECTIONS_SHARE: f64 = 0.75;
-/// Part of the machines' idle time after which a connection is closed from this side, before a request can
-/// cross the close from theirs.
+/// Share of the machines' idle timeout after which the router closes a connection itself, before a request
+/// can cross a close by the machine.
 const IDLE_TIMEOUT_SHARE: f64 = 0.8;
-/// A machine that has no other way says its name within that, or who answers there isn't known.
+/// Time for the answer to a greeting, if the machine has no other endpoint.
 const GREETING_TIMEOUT_MS: Millis = 500.0;
-/// Ids given up or answered under which something may still be on its way: how many are kept at least, as long as they
-/// are young, and at most. A request's id comes back with each of its attempts.
+/// Answers to closed ids may still be on their way, and each attempt of a request reuses its id. This many
+/// ids are kept at least while they are younger than [`CLOSED_ID_LIFETIME_MS`], and this many at most.
 const CLOSED_IDS_KEPT: [usize; 2] = [64, 1024];
 const CLOSED_ID_LIFETIME_MS: Millis = 10_000.0;
 
-/// What a greeting was answered with by another machine than the one that was meant.
-pub const WRONG_NAME: ProtocolError = ProtocolError("another machine answers there");
+/// Another machine than the intended one answered the greeting.
+pub const WRONG_NAME: ProtocolError = ProtocolError("another machine answers at this endpoint");
 
-/// A connection's number, never used again.
+/// Number of a connection; never reused.
 pub type ConnectionKey = u64;
 
-/// What a connection brings.
+/// What a connection has received.
 #[derive(Clone, Debug, PartialEq)]
 pub enum EndpointEvent {
-    /// An attempt's answer.
+    /// The answer to an attempt.
     Answer(AttemptKey, Answer),
-    /// A probe's.
+    /// The answer to a probe.
     Probe(CacheId, Outcome, LoadReport),
-    /// One that was given up, or another copy of one that has come.
+    /// An answer to an id that is closed: the attempt was given up, or is answered already.
     Late,
-    /// One whose id isn't known.
+    /// An answer with an unknown id.
     Unknown,
-    /// The machine has answered the greeting: the connection may carry work. Stays inside.
+    /// The machine has answered the greeting, so the connection may carry requests. Not returned to callers.
     Greeted,
 }
 
-/// What was on a connection that has ended.
+/// What was on a connection that has closed.
 #[derive(Debug, Default, PartialEq)]
 pub struct ClosedConnection {
-    /// Attempts that are lost with it, and how far each had come.
+    /// The attempts lost with it, and how far each had come.
     pub lost: Vec<(AttemptKey, Progress)>,
-    /// Probes that are.
+    /// The machines whose probes were lost.
     pub probes: Vec<CacheId>,
-    /// The connections on which the rest goes on: it was up, and no byte of them had left.
+    /// The connections that took over the unsent frames of a connection that was up.
     pub moved: BTreeSet<ConnectionKey>,
-    /// Dials for it that are to be closed.
+    /// The dials to close.
     pub dials: Vec<DialKey>,
-    /// Ways that are left alone for it.
+    /// The endpoints paused because of it.
     pub paused: Vec<EndpointPause>,
 }
 
-/// Why something was not queued.
+/// Why nothing was queued.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SendError {
-    /// There is no room for another connection: that says nothing about the machine.
+    /// The limit on connections is reached, which says nothing about the machine.
     NoRoom,
-    /// No address is known that is its own now.
+    /// No address is known that belongs to the machine now.
     NoAddress,
 }
 
-/// How a dial ended without a connection.
+/// Why a dial ended without a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DialError {
-    /// The path is at fault.
+    /// The endpoint failed.
     Failed(EndpointFailure),
-    /// No route leads there just now.
+    /// There is no route to the endpoint at the moment.
     Unreachable,
-    /// This machine lacked something for it: that says nothing about the path.
+    /// The router lacked a resource for the dial, which says nothing about the endpoint.
     NoRoom,
 }
 
-/// What is to be done about dials.
+/// An action for the caller.
 #[derive(Clone, Debug, PartialEq)]
 pub enum DialAction {
-    /// Dial for a connection.
+    /// Start a dial for a connection.
     Start(ConnectionKey, DialKey, Endpoint),
-    /// Close one that isn't wanted any more.
+    /// Close a dial that is no longer needed.
     Close(DialKey),
-    /// A path is left alone until then.
+    /// An endpoint is paused; the caller logs it.
     Paused(EndpointPause),
 }
 
-/// A path that is left alone.
+/// A pause of an endpoint after a failure.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndpointPause {
-    /// Whose.
+    /// The machine.
     pub machine: CacheId,
-    /// Which.
+    /// The paused endpoint.
     pub endpoint: Endpoint,
-    /// Why.
+    /// How it failed.
     pub why: EndpointFailure,
-    /// For how long.
+    /// Length of the pause in milliseconds.
     pub pause_ms: Millis,
 }
 
@@ -128,7 +131,7 @@
 pub struct ConnectionPool {
     connections: BTreeMap<ConnectionKey, Connection>,
     addresses: AddressTable,
-    /// Connections that aren't up.
+    /// Connections that are still being dialed.
     dialing: BTreeSet<ConnectionKey>,
     next_dial: DialKey,
     by_attempt: HashMap<AttemptKey, (ConnectionKey, String)>,
@@ -141,12 +144,12 @@
 }
 
 impl ConnectionPool {
-    /// None yet. `most` bounds them all.
+    /// Creates an empty pool without address settings. At most `max_connections` are open at a time.
     pub fn new(dial_ms: Millis, idle_ms: Millis, streams: usize, max_connections: usize) -> Self {
         Self::with_address_settings(dial_ms, idle_ms, streams, max_connections, None, 0)
     }
 
-    /// As [`ConnectionPool::new`], with several addresses to a machine; `seed` draws the jitter of pauses.
+    /// Creates an empty pool for machines with several addresses; `seed` determines the jitter of pauses.
     pub fn with_address_settings(
         dial_ms: Millis,
         idle_ms: Millis,
@@ -170,30 +173,30 @@
         }
     }
 
-    /// The notice board has spoken of a machine.
+    /// Takes over what the discovery service announced about a machine.
     pub fn update_listing(&mut self, machine: &CacheId, listing: Listing) {
         self.addresses.update_listing(machine, listing);
         self.retire_unlisted(Some(machine));
     }
 
-    /// A machine is forgotten.
+    /// Removes a machine and its addresses.
     pub fn forget_machine(&mut self, machine: &CacheId) {
         self.addresses.forget_machine(machine);
         self.retire_unlisted(Some(machine));
     }
 
-    /// Takes over other rules: connections over ways that are gone end once they carry nothing.
+    /// Takes over new address settings. Connections over removed endpoints close once they carry nothing.
     pub fn set_address_settings(&mut self, settings: Option<AddressSettings>) {
         self.addresses.set_settings(settings);
         self.retire_unlisted(None);
     }
 
-    /// What is known of the ways to machines.
+    /// Returns the table of the machines' addresses.
     pub fn addresses(&self) -> &AddressTable {
         &self.addresses
     }
 
-    /// Connections over ways that are gone are retired.
+    /// Retires connections over endpoints that are no longer listed.
     fn retire_unlisted(&mut self, machine: Option<&CacheId>) {
         let concerned =
             |connection: &&mut Connection| machine.is_none_or(|machine| connection.machine == *machine);
@@ -206,12 +209,13 @@
         }
     }
 
-    /// Takes over another bound on all connections; those beyond it end as they fall idle.
+    /// Changes the limit on connections. Connections beyond it close as they become idle.
     pub fn set_max_connections(&mut self, max_connections: usize) {
         self.max_connections = max_connections;
     }
 
-    /// Queues an attempt. The connection, and whether it is new, so that [`ConnectionPool::poll_dials`] has it dialled.
+    /// Queues an attempt. Returns the connection and whether it is new, in which case
+    /// [`ConnectionPool::poll_dials`] starts its dials.
     pub fn send(
         &mut self,
         now: Millis,
@@ -230,7 +234,7 @@
         self.queue(now, Purpose::Attempt(attempt), machine, frame, true)
     }
 
-    /// Queues a probe; as [`ConnectionPool::send`].
+    /// Queues a probe, like [`ConnectionPool::send`].
     pub fn probe(&mut self, now: Millis, machine: &CacheId) -> Result<(ConnectionKey, bool), SendError> {
         self.next_probe += 1;
         let tag = format!("probe{}", self.next_probe);
@@ -254,15 +258,16 @@
             (count, dialing) = (count + 1, dialing + usize::from(connection.connected_at.is_none()));
         }
         let reusable = |connection: &Connection| may_reuse || connection.connected_at.is_none();
-        // What must not be repeated is no trial.
+        // An attempt that must not be repeated is no test of an endpoint.
         let suitable =
             |connection: &Connection| reusable(connection) && !(frame.alone && connection.trial.is_some());
         let usable = own().filter(|(_, connection)| {
             suitable(connection) && connection.accepts(now, &self.addresses, &id, self.max_streams)
         });
-        // One on trial goes first. One that is up goes before one that is dialled, a better way before a worse
-        // one, so that those fall idle once it is back, and the less it carries the better; but a crowded one
-        // comes last, or each further attempt would have one more dialled.
+        // A connection under test goes first. Then a connected one goes before one that is being dialed, a
+        // preferred endpoint before others, so that those become idle once it is back, and a less loaded one
+        // before others. Crowded connections come last; otherwise each further attempt would dial another
+        // one.
         let crowded = |connection: &Connection| connection.is_crowded(frame.alone);
         let rank = |connection: &Connection| {
             connection.endpoint.as_ref().map_or(0, |endpoint| self.addresses.preference(machine, endpoint))
@@ -277,8 +282,8 @@
             )
         });
         let best = best.map(|(key, connection)| (*key, crowded(connection)));
-        // Further connections leave room for first ones to machines that come; at the bound one that rests
-        // makes it. Nor are more dialled at once than there are dials to be had.
+        // Additional connections leave room for the first ones to new machines; at the limit, an idle
+        // connection makes room. Nor are more dialed at once than dials are allowed.
         let may_open_another = count < MAX_CONNECTIONS_PER_MACHINE
             && (self.connections.len() as f64) < EXTRA_CONNECTIONS_SHARE * self.max_connections as f64
             && (dialing == 0 || dialing < self.addresses.max_races(now, machine));
@@ -306,7 +311,7 @@
         Ok((key, new))
     }
 
-    /// Has the longest idle connection closed; false if none is idle.
+    /// Marks the longest idle connection to be closed; returns false if none is idle.
     fn expire_idle_connection(&mut self, now: Millis) -> bool {
         let idle = |connection: &&mut Connection| {
             connection.connected_at.is_some()
@@ -322,8 +327,8 @@
             .is_some()
     }
 
-    /// Gives an attempt up: takes it from the queue if no byte has left, else tells the machine. The
-    /// connection that has something to write.
+    /// Gives an attempt up: removes it from the queue if no byte of it was written, or sends STOP to the
+    /// machine. Returns the connection that has something to write.
     pub fn stop(&mut self, now: Millis, attempt: AttemptKey) -> Option<ConnectionKey> {
         let (key, id) = self.by_attempt.remove(&attempt)?;
         let connection = self.connections.get_mut(&key)?;
@@ -343,7 +348,7 @@
         self.connections.get(&key).is_some_and(|connection| connection.connected_at.is_some())
     }
 
-    /// Whether nothing but unsent frames is on it, so that it may have been closed unseen.
+    /// Whether no byte on the connection awaits an answer, so that the machine may have closed it unnoticed.
     pub fn nothing_in_flight(&self, key: ConnectionKey) -> bool {
         let sent = |connection: &Connection| {
             connection.written > 0
@@ -352,7 +357,8 @@
         self.connections.get(&key).is_some_and(|connection| !sent(connection))
     }
 
-    /// The attempt whose frame is next to be written, and no byte of which has left: it may still be withheld.
+    /// Returns the attempt whose frame is next to be written, if no byte of it was written: it may still be
+    /// withheld.
     pub fn next_unstarted(&self, key: ConnectionKey) -> Option<AttemptKey> {
         let connection = self
             .connections
@@ -361,11 +367,11 @@
         let id = connection.output.front()?.opens_id.as_ref()?;
         match connection.outstanding.get(id)?.purpose {
             Purpose::Attempt(attempt) => Some(attempt),
-            Purpose::Probe | Purpose::Greeting => None, // They are nobody's request.
+            Purpose::Probe | Purpose::Greeting => None, // No request belongs to them.
         }
     }
 
-    /// The next frame may begin to leave, with this as its attempt's time.
+    /// Sets the time limit of the next frame's attempt, before its first byte is written.
     pub fn set_time_limit(&mut self, key: ConnectionKey, limit_ms: Millis) {
         let Some(frame) = self.connections.get_mut(&key).and_then(|connection| connection.output.front_mut())
         else {
@@ -378,7 +384,7 @@
         }
     }
 
-    /// Takes the next frame back, no byte of which has left.
+    /// Removes the next frame, no byte of which was written.
     pub fn withhold(&mut self, now: Millis, key: ConnectionKey) {
         let Some(connection) = self.connections.get_mut(&key).filter(|connection| connection.written == 0)
         else {
@@ -392,7 +398,7 @@
         }
     }
 
-    /// The next bytes to write.
+    /// Returns the next bytes to write.
     pub fn output(&self, key: ConnectionKey) -> Option<&[u8]> {
         let connection = self.connections.get(&key).filter(|connection| connection.connected_at.is_some())?;
         let greets = |frame: &&Frame| {
@@ -402,7 +408,7 @@
         connection.output.front().filter(greets).map(|frame| &frame.bytes[connection.written..])
     }
 
-    /// So many of them have been written; the attempt that has come further by it.
+    /// Records that `bytes` of the output were written. Returns the attempt that has progressed by it.
     pub fn wrote(&mut self, now: Millis, key: ConnectionKey, bytes: usize) -> Option<(AttemptKey, Progress)> {
         let connection = self.connections.get_mut(&key)?;
         connection.written += bytes;
@@ -425,7 +431,7 @@
         }
     }
 
-    /// Takes bytes in. After a fault the connection is to be closed.
+    /// Processes received bytes. After an error the connection must be closed.
     pub fn receive(
         &mut self,
         now: Millis,
@@ -434,7 +440,7 @@
     ) -> (Vec<EndpointEvent>, Option<ProtocolError>) {
         let mut events = Vec::new();
         let Some(connection) = self.connections.get_mut(&key) else { return (events, None) };
-        // The bytes behind a whole frame came with its last ones, now.
+        // Bytes after a complete frame arrived together with its last ones, now.
         let (mut begins, mut answered) = (!connection.decoder.has_partial_frame(), false);
         connection.decoder.feed(bytes);
         let fault = loop {
@@ -473,8 +479,9 @@
         (events, fault)
     }
 
-    /// A connection has ended, or never came up. What had not begun to leave one that was up moves on to
-    /// another: nothing is known against the machine. `blame` is what it says about its path.
+    /// Handles a connection that has closed or never came up. If it was up, frames that were not written move
+    /// to other connections: nothing is known against the machine. `blame` is the failure that the close
+    /// shows of its endpoint.
     pub fn connection_closed(
         &mut self,
         now: Millis,
@@ -513,7 +520,7 @@
         if let Some(tried) = &connection.trial {
             self.addresses.end_trial(now, &connection.machine, tried);
         }
-        // Another connection that is up may be as dead, unless it goes another way.
+        // Other connections over the same endpoint may be dead as well.
         let other_endpoint = connection
             .endpoint
             .as_ref()
@@ -548,22 +555,22 @@
         ended
     }
 
-    /// The connection that an attempt is on.
+    /// Returns the connection that carries an attempt.
     pub fn connection_of(&self, attempt: AttemptKey) -> Option<ConnectionKey> {
         self.by_attempt.get(&attempt).map(|(key, _)| *key)
     }
 
-    /// Where a connection leads, once it is up.
+    /// Returns the endpoint that a connection is connected to.
     pub fn endpoint(&self, key: ConnectionKey) -> Option<&Endpoint> {
         self.connections.get(&key)?.endpoint.as_ref()
     }
 
-    /// Whose a connection is.
+    /// Returns the machine that a connection belongs to.
     pub fn machine(&self, key: ConnectionKey) -> Option<&CacheId> {
         self.connections.get(&key).map(|connection| &connection.machine)
     }
 
-    /// Dials that are open for a connection, and where they lead.
+    /// Returns the open dials of a connection and their endpoints.
     pub fn dials(&self, key: ConnectionKey) -> Vec<(DialKey, Endpoint)> {
         let race = self.connections.get(&key).and_then(|connection| connection.race.as_ref());
         race.map_or(Vec::new(), |race| {
@@ -571,7 +578,7 @@
         })
     }
 
-    /// A machine leaves: its connections end once they carry nothing.
+    /// Closes a machine's connections once they carry nothing; it is leaving.
     pub fn retire(&mut self, machine: &CacheId) {
         self.connections
             .values_mut()
@@ -579,7 +586,7 @@
             .for_each(|connection| connection.retired = true);
     }
 
-    /// Connections to a machine that were dialled before it started anew.
+    /// Returns the connections to a machine that were dialed before it restarted at `at`.
     pub fn dialed_before(&self, machine: &CacheId, at: Millis) -> Vec<ConnectionKey> {
         let old = self
             .connections
@@ -588,7 +595,7 @@
         old.map(|(key, _)| *key).collect()
     }
 
-    /// Connections that are due to be closed, and why.
+    /// Returns the connections that must be closed now, and why.
     pub fn expired(&self, now: Millis) -> Vec<(ConnectionKey, EndpointClose)> {
         let due = |connection: &Connection| {
             let empty = connection.outstanding.is_empty() && connection.output.is_empty();
@@ -613,7 +620,7 @@
         self.connections.iter().filter_map(|(key, connection)| Some((*key, due(connection)?))).collect()
     }
 
-    /// When to look for expired ones, mute ones and dials next.
+    /// Returns when expired or unresponsive connections and dials must be checked next.
     pub fn next_deadline(&self) -> Option<Millis> {
         let connections = self
             .connections
@@ -632,7 +639,7 @@
         [connections, unresponsive, self.addresses.next_deadline()].into_iter().flatten().reduce(f64::min)
     }
 
-    /// Connections there are.
+    /// Returns the number of connections.
     pub fn count(&self) -> usize {
         self.connections.len()
     }
--- a/src/back/wire.rs
+++ b/src/back/wire.rs
@@ -1,4 +1,4 @@
-//! The fields of frames, in words.
+//! Encoding and decoding of the fields in frames.
 
 use crate::api::{Keep, LoadReport, Millis, Note};
 use crate::config;
@@ -48,12 +48,13 @@
     })
 }
 
-/// How an attempt's time is worded, in whole milliseconds; `None`: it has none of its own.
+/// Returns a time limit as sent to machines, in whole milliseconds; `None` if the attempt has no limit of its
+/// own.
 pub(super) fn wire_limit_ms(limit_ms: Millis) -> Option<u64> {
     (limit_ms > 0.0).then(|| limit_ms.ceil() as u64)
 }
 
-/// The bytes of a request that has so much time.
+/// Encodes a request with the given time limit.
 pub(super) fn encode_request(call: &Call, limit_ms: Millis) -> Vec<u8> {
     let (ask, fetch) = (&call.ask, &call.fetch);
     let mut fields = format!("cls={}", ask.class);
@@ -87,8 +88,8 @@
     if let Some(tag) = &ask.holds {
         field("holds", tag.clone());
     }
-    // By the platform's names file: the protocol page doesn't have it, and a keyed request without it is refused as one
-    // that no client sent.
+    // Specified by the platform's list of names only, not by the protocol specification. Machines refuse a
+    // keyed request without it, as one that no client sent.
     if let Some(key) = &ask.idempotency_key {
         field("nonce", key.to_string());
     }
--- a/src/fastcgi.rs
+++ b/src/fastcgi.rs
@@ -1,81 +1,82 @@
-//! The FastCGI 1.0 codec: bytes to records and back. Pure, incremental, bounded by the record's length field.
+//! FastCGI 1.0 codec. Decodes records from a byte stream and encodes them; performs no I/O. A partial record
+//! takes no more memory than its length field allows.
 
 use crate::bytes::Bytes;
 
-/// Kinds of records.
+/// Record types.
 pub mod kind {
-    /// A request begins.
+    /// Starts a request (FCGI_BEGIN_REQUEST).
     pub const BEGIN: u8 = 1;
-    /// Its client has stopped waiting.
+    /// The client has stopped waiting for a request (FCGI_ABORT_REQUEST).
     pub const ABORT: u8 = 2;
-    /// A request is over.
+    /// Ends a request (FCGI_END_REQUEST).
     pub const END: u8 = 3;
-    /// Name-value pairs.
+    /// Name-value pairs of a request.
     pub const PARAMS: u8 = 4;
-    /// The request's body.
+    /// Body of a request.
     pub const STDIN: u8 = 5;
-    /// The answer.
+    /// Answer to a request.
     pub const STDOUT: u8 = 6;
-    /// Questions about the server.
+    /// Query for the server's limits.
     pub const GET_VALUES: u8 = 9;
-    /// Answers to them.
+    /// Answer to [`GET_VALUES`].
     pub const GET_VALUES_RESULT: u8 = 10;
-    /// A management record that isn't known.
+    /// Answer to a management record of an unknown type.
     pub const UNKNOWN: u8 = 11;
 }
 
-/// Protocol status values of END_REQUEST.
+/// Protocol status values of FCGI_END_REQUEST.
 pub mod status {
     /// The answer is complete.
     pub const COMPLETE: u8 = 0;
-    /// Turned away.
+    /// The request was rejected because too many are open.
     pub const OVERLOADED: u8 = 2;
-    /// The role isn't served here.
+    /// The requested role is not supported.
     pub const UNKNOWN_ROLE: u8 = 3;
 }
 
 const HEADER_BYTES: usize = 8;
-/// The largest piece of an answer in one record: a multiple of 8, so that it needs no padding.
+/// Most bytes of an answer in one record: a multiple of 8, so that no padding is needed.
 const MAX_STDOUT_BYTES: usize = 32_768;
 
-/// Why bytes can't be read; the connection ends.
+/// Why the input can't be parsed. The connection must be closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProtocolError {
-    /// Not version 1.
+    /// The record has a version other than 1.
     Version(u8),
-    /// A record that breaks the protocol's order or form.
+    /// A record violates the protocol's order or form.
     Malformed(&'static str),
 }
 
-/// One record.
+/// A decoded record.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Record {
-    /// Its kind.
+    /// The record type; see [`kind`].
     pub kind: u8,
-    /// The request it belongs to; 0: management.
+    /// The request id; 0 for management records.
     pub request: u16,
-    /// Its content, without padding.
+    /// The content, without padding.
     pub content: Vec<u8>,
 }
 
-/// Turns bytes into records, wherever they are split.
+/// Incremental decoder from bytes to records.
 #[derive(Debug, Default)]
 pub struct Decoder {
     bytes: Bytes,
 }
 
 impl Decoder {
-    /// Takes bytes in.
+    /// Adds received bytes.
     pub fn feed(&mut self, bytes: &[u8]) {
         self.bytes.feed(bytes);
     }
 
-    /// Bytes of a record that isn't whole yet.
+    /// Returns the number of buffered bytes that do not form a complete record yet.
     pub fn pending(&self) -> usize {
         self.bytes.rest().len()
     }
 
-    /// The next whole record.
+    /// Returns the next complete record, if there is one.
     pub fn next_record(&mut self) -> Result<Option<Record>, ProtocolError> {
         let rest = self.bytes.rest();
         let Some((header, rest)) = rest.split_at_checked(HEADER_BYTES) else { return Ok(None) };
@@ -97,7 +98,7 @@
     }
 }
 
-/// Appends one record. `content` longer than a record holds is cut: callers split it.
+/// Appends one record to `out`. Callers split content that exceeds a record; any excess is dropped.
 pub fn record(out: &mut Vec<u8>, kind: u8, request: u16, content: &[u8]) {
     let content = &content[..content.len().min(usize::from(u16::MAX))];
     let padding = (8 - content.len() % 8) % 8;
@@ -108,7 +109,7 @@
     out.extend_from_slice(&[0; 8][..padding]);
 }
 
-/// The records of a whole answer, each by itself.
+/// Returns the records of a complete answer, each as a separate buffer.
 pub fn answer(request: u16, head: &str, body: &[u8]) -> Vec<Vec<u8>> {
     let mut records = Vec::with_capacity(2 + body.len() / MAX_STDOUT_BYTES);
     let mut first = head.as_bytes().to_vec();
@@ -126,7 +127,7 @@
     records
 }
 
-/// The record that ends a request.
+/// Returns the record that ends a request.
 pub fn end(request: u16, protocol_status: u8) -> Vec<u8> {
     let mut out = Vec::new();
     record(&mut out, kind::END, request, &[0, 0, 0, 0, protocol_status, 0, 0, 0]);
@@ -134,7 +135,7 @@
 }
 
 fn read_length(bytes: &mut &[u8]) -> Result<usize, ProtocolError> {
-    const TRUNCATED: ProtocolError = ProtocolError::Malformed("a parameter is cut short");
+    const TRUNCATED: ProtocolError = ProtocolError::Malformed("truncated parameter");
     let (first, rest) = bytes.split_first().ok_or(TRUNCATED)?;
     if *first < 0x80 {
         *bytes = rest;
@@ -148,13 +149,13 @@
 /// A name and its value.
 pub type Pair<'a> = (&'a [u8], &'a [u8]);
 
-/// Reads name-value pairs.
+/// Parses name-value pairs.
 pub fn pairs(mut bytes: &[u8]) -> Result<Vec<Pair<'_>>, ProtocolError> {
     let mut pairs = Vec::new();
     while !bytes.is_empty() {
         let (name, value) = (read_length(&mut bytes)?, read_length(&mut bytes)?);
         let whole = name.checked_add(value).filter(|whole| *whole <= bytes.len());
-        let whole = whole.ok_or(ProtocolError::Malformed("a parameter's length is impossible"))?;
+        let whole = whole.ok_or(ProtocolError::Malformed("parameter length exceeds the content"))?;
         let (pair, rest) = bytes.split_at(whole);
         pairs.push(pair.split_at(name));
         bytes = rest;
@@ -162,7 +163,7 @@
     Ok(pairs)
 }
 
-/// Appends a name-value pair.
+/// Appends a name-value pair to `out`.
 pub fn pair(out: &mut Vec<u8>, name: &[u8], value: &[u8]) {
     for part in [name, value] {
         match u8::try_from(part.len()) {
--- a/src/front.rs
+++ b/src/front.rs
@@ -1,4 +1,5 @@
-//! A client connection's state: which requests are open on it, and what is still to be written.
+//! State of one client connection: the requests that are open on it and the answers that are still to be
+//! written. Performs no I/O.
 
 use crate::api::Millis;
 use crate::fastcgi::{self, kind, status, Decoder, ProtocolError, Record};
@@ -6,62 +7,67 @@
 use crate::reducer::{Ask, Reply};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Requests open on one connection.
+/// Most requests that may be open on one connection.
 const MAX_OPEN_REQUESTS: usize = 32;
-/// Bytes of a request's parameters, and of its body: one write brings up to 48,000.
+/// Size limits of a request's parameters and of its body, in bytes. Clients send bodies of up to 48,000
+/// bytes.
 const MAX_PARAMS_BYTES: usize = 16 * 1024;
 const MAX_BODY_BYTES: usize = 64 * 1024;
-/// Bytes of requests that were turned away before their end, which are read and thrown away.
+/// Bytes of rejected, answered or unknown requests that a connection reads and discards before it is closed.
 const MAX_DISCARDED_BYTES: usize = 64 << 20;
-/// The largest part's number, group, size and time that a request may name.
+/// Largest piece number, group, size and timeout that a request may specify.
 const MAX_PIECE: u64 = 1 << 20;
 const MAX_GROUP: u64 = 255;
 const MAX_SIZE_KB: f64 = 1e8;
 const MAX_TIMEOUT_MS: f64 = 1e6;
-/// With more than that unwritten, further requests are turned away at once: who doesn't read is served no more. It is
-/// heard all the same, as it may abort or leave.
+/// With this many bytes unwritten, new requests are rejected at once: a client that does not read gets no
+/// further answers. The connection is still read, because the client may abort requests or leave.
 const REJECT_UNWRITTEN_BYTES: usize = 1 << 20;
-/// With more than that, nothing more is read of a client that goes on asking.
+/// With this many bytes unwritten, the connection is not read any more. It bounds the rejections queued for a
+/// client that keeps on sending requests.
 const STOP_READING_UNWRITTEN_BYTES: usize = 2 * REJECT_UNWRITTEN_BYTES;
 
-/// A connection's first request has begun by then, and each is whole so long after its beginning.
+/// Time in which the first request of a connection must begin, and in which each request must be complete.
 const REQUEST_READ_TIMEOUT_MS: Millis = 2000.0;
-/// Clients close idle connections after 4 s. One that is idle for longer has lost its client, or is kept for
-/// good; it would hold its descriptor for ever.
+/// Clients close idle connections after 4 s. A connection that stays idle for longer has lost its client or
+/// is kept open for good, and would hold a file descriptor forever.
 const IDLE_TIMEOUT_MS: Millis = 4500.0;
-/// A client that has taken nothing of what it is owed for so long, and for longer than any class's clients wait, is gone.
+/// A client that accepts no bytes for this long, and for longer than the longest client timeout, counts as
+/// gone.
 const WRITE_STALL_TIMEOUT_MS: Millis = 6000.0;
-/// How fast the slowest clients read, in bytes a millisecond (the operators' page of days: 1 MB a second).
+/// Read rate of the slowest clients, in bytes per millisecond (1 MB/s according to the platform's
+/// specification).
 const SLOWEST_CLIENT_BYTES_PER_MS: f64 = 1000.0;
-/// How long a client may still read what the system has taken for it: one that keeps up, and one for which the system's
-/// buffers, which take megabytes, were full for longer than [`SHORT_BLOCK_MS`].
+/// How long a client may take to read what the kernel has accepted for it: for a client that keeps up, and
+/// for one whose socket buffers, which hold megabytes, were full for longer than [`SHORT_BLOCK_MS`].
 const MAX_READ_LAG_MS: Millis = 300.0;
 const MAX_READ_LAG_AFTER_BLOCK_MS: Millis = 4000.0;
 const SHORT_BLOCK_MS: Millis = 100.0;
-/// So young a connection isn't shed: its first bytes may be there, unread.
+/// Younger connections are not shed: their first bytes may have arrived without having been read.
 const MIN_SHED_AGE_MS: Millis = 50.0;
 
-/// What a connection brings.
+/// What a connection has received.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ClientEvent {
-    /// A request is whole, so long after its beginning; or it is turned away, whole or not.
+    /// A request is complete, or was rejected, complete or not. With its serial number, the parsed request,
+    /// and its age in milliseconds since its first record.
     Request(u64, Result<Ask, &'static str>, Millis),
-    /// Somebody asks whether this router is ready.
+    /// A health check asks whether this router is ready.
     HealthCheck(u64),
-    /// The client has stopped waiting for it.
+    /// The client has aborted the request.
     Aborted(u64),
-    /// A request that is half there is turned away, as its connection is about to be closed.
+    /// An incomplete request is rejected because its connection is about to be closed.
     CutShort(u64),
 }
 
-/// What has come of a request.
+/// How much of a request has been received.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Stage {
     Params,
     Body,
-    /// All of it: its answer is awaited.
+    /// The request is complete and awaits its answer.
     Complete,
-    /// It is turned away; the rest is thrown away.
+    /// The request was rejected; the rest of it is discarded.
     Rejected,
 }
 
@@ -80,31 +86,31 @@
         matches!(self.stage, Stage::Params | Stage::Body)
     }
 
-    /// It comes no further: what it held is let go of.
+    /// Enters a stage that takes no more input. Returns the parameters and the body received so far.
     fn end_input(&mut self, stage: Stage) -> (Vec<u8>, Vec<u8>) {
         self.stage = stage;
         (std::mem::take(&mut self.params), std::mem::take(&mut self.body))
     }
 }
 
-/// How a connection stands with the clock.
+/// Result of checking a connection's timeouts.
 #[derive(Clone, Debug, PartialEq)]
 pub enum TimeoutStatus {
-    /// All is well.
+    /// No timeout has expired.
     Ok,
-    /// Requests that should have been whole by now, and are turned away.
+    /// These requests are incomplete after their time; they are rejected.
     Requests(Vec<ClientEvent>),
-    /// Its client is silent, deaf or gone.
+    /// The connection must be closed: its client sends no request, reads nothing, or is gone.
     Connection(ClientClose),
 }
 
-/// One client connection.
+/// A client connection.
 #[derive(Debug, Default)]
 pub struct Conn {
     decoder: Decoder,
     open: BTreeMap<u16, OpenRequest>,
     next_serial: u64,
-    /// Whole records to be written, with the request that each is of (0: none).
+    /// Records to be written, each with its request id (0 for none).
     output_queue: VecDeque<(u16, Vec<u8>)>,
     front_written: usize,
     unwritten_bytes: usize,
@@ -112,26 +118,27 @@
     buffered_bytes: usize,
     discarded_bytes: usize,
     opened_at: Millis,
-    /// When the latest of its requests began to come.
+    /// When the latest request began.
     latest_request_at: Option<Millis>,
     last_activity_at: Millis,
-    /// When its client last took something of what it is owed, or was owed nothing.
+    /// When the client last accepted bytes, or last sent something while no bytes were unwritten.
     last_write_at: Millis,
-    /// By then a slow client has read what was written, too.
+    /// Time by which even a slow client has read what was written.
     client_read_by: Millis,
-    /// Since when the system takes no more for its client.
+    /// Since when the socket accepts no more bytes.
     blocked_since: Option<Millis>,
     write_timeout_ms: Millis,
-    /// Some request has come whole, or was turned away.
+    /// Whether any request was received completely or rejected.
     had_request: bool,
-    /// It is closed, for this reason, once all that is open on it is answered and the answers have left.
+    /// The connection is closed for this reason as soon as all open requests are answered and the answers
+    /// written.
     close_when_done: Option<ClientClose>,
-    /// Nothing more is read from it.
+    /// Nothing more is read from this connection.
     reading_stopped: bool,
 }
 
 impl Conn {
-    /// A connection that was accepted now.
+    /// Creates the state of a connection accepted at `now`.
     pub fn new(now: Millis) -> Self {
         Self {
             opened_at: now,
@@ -142,12 +149,13 @@
         }
     }
 
-    /// Its clients may wait so long for an answer.
+    /// Extends the write timeout to the longest time that clients wait for an answer.
     pub fn with_client_timeout(self, longest_ms: Millis) -> Self {
         Self { write_timeout_ms: self.write_timeout_ms.max(longest_ms), ..self }
     }
 
-    /// Takes bytes in. What they bring holds also where a fault follows it; after a fault the connection is to be closed.
+    /// Processes received bytes. The returned events are valid even if an error follows them; after an error
+    /// the connection must be closed.
     pub fn receive(&mut self, now: Millis, bytes: &[u8]) -> (Vec<ClientEvent>, Option<ProtocolError>) {
         self.last_activity_at = now;
         if self.unwritten_bytes == 0 {
@@ -162,7 +170,7 @@
     fn read_records(&mut self, now: Millis, events: &mut Vec<ClientEvent>) -> Result<(), ProtocolError> {
         while let Some(record) = self.decoder.next_record()? {
             let Some(one) = self.handle_record(now, record)? else { continue };
-            // Asked for and taken back in one breath: nobody else needs to know of it.
+            // A request that is aborted within the same input needs no handling at all.
             let same = |other: &ClientEvent| matches!((other, &one), (ClientEvent::Request(a, ..), ClientEvent::Aborted(b)) if a == b);
             match events.iter().position(same) {
                 Some(at) => drop(events.remove(at)),
@@ -187,25 +195,29 @@
         let Some(open) =
             self.open.get_mut(&request).filter(|open| open.stage != Stage::Rejected || what == kind::ABORT)
         else {
-            // Records of a request that is answered, turned away or unknown are late, and passed over; but
-            // not for ever.
+            // Records of an answered, rejected or unknown request come late and are discarded, up to a limit.
             self.discarded_bytes += content.len();
             let endless = self.discarded_bytes > MAX_DISCARDED_BYTES;
-            return if endless { Err(ProtocolError::Malformed("a body without end")) } else { Ok(None) };
+            return if endless {
+                Err(ProtocolError::Malformed("too much input after a rejection"))
+            } else {
+                Ok(None)
+            };
         };
         match (what, open.stage) {
             (kind::ABORT, _) => {
                 let serial = open.serial;
                 self.buffered_bytes -= open.params.len() + open.body.len();
                 self.open.remove(&request);
-                Ok(Some(ClientEvent::Aborted(serial))) // Also one turned away: no answer after this.
+                // Also for a rejected request: no answer may follow an abort.
+                Ok(Some(ClientEvent::Aborted(serial)))
             }
             (kind::PARAMS, Stage::Params) if content.is_empty() => {
                 open.stage = Stage::Body;
                 Ok(None)
             }
             (kind::PARAMS, Stage::Params) if open.params.len() + content.len() > MAX_PARAMS_BYTES => {
-                Err(ProtocolError::Malformed("too many parameters"))
+                Err(ProtocolError::Malformed("parameters too long"))
             }
             (kind::PARAMS, Stage::Params) => {
                 open.params.extend_from_slice(&content);
@@ -214,7 +226,7 @@
             }
             (kind::PARAMS, _) => Err(ProtocolError::Malformed("parameters after their end")),
             (kind::STDIN, Stage::Body) if open.body.len() + content.len() > MAX_BODY_BYTES => {
-                // Answered now: its end may be far away, or never come.
+                // Reject the request now: its end may be far away or never come.
                 let serial = open.serial;
                 let (params, body) = open.end_input(Stage::Rejected);
                 self.buffered_bytes -= params.len() + body.len();
@@ -234,7 +246,7 @@
                 let pairs = match fastcgi::pairs(&params) {
                     Ok(pairs) => pairs,
                     Err(fault) => {
-                        self.open.remove(&request); // Nobody will answer it.
+                        self.open.remove(&request); // No one will answer it.
                         return Err(fault);
                     }
                 };
@@ -243,7 +255,7 @@
                 }
                 Ok(Some(ClientEvent::Request(serial, parse_request(&pairs, body), age_ms)))
             }
-            (kind::STDIN, _) => Err(ProtocolError::Malformed("a body out of place")),
+            (kind::STDIN, _) => Err(ProtocolError::Malformed("unexpected body record")),
             _ => Ok(None),
         }
     }
@@ -255,10 +267,10 @@
         content: &[u8],
     ) -> Result<Option<ClientEvent>, ProtocolError> {
         let [role_high, role_low, flags, ..] = *content else {
-            return Err(ProtocolError::Malformed("a beginning cut short"));
+            return Err(ProtocolError::Malformed("truncated begin record"));
         };
         if self.open.contains_key(&request) {
-            return Err(ProtocolError::Malformed("a request begins twice"));
+            return Err(ProtocolError::Malformed("request id already in use"));
         }
         if u16::from_be_bytes([role_high, role_low]) != 1 {
             self.queue_record(0, fastcgi::end(request, status::UNKNOWN_ROLE));
@@ -308,7 +320,7 @@
         self.output_queue.push_back((request, record));
     }
 
-    /// Queues a final answer; false if none is owed any more.
+    /// Queues the final answer to a request; returns false if no answer is owed any more.
     pub fn answer(&mut self, serial: u64, reply: &Reply) -> bool {
         let Some(request) = self.open.iter().find(|(_, open)| open.serial == serial).map(|(id, _)| *id)
         else {
@@ -343,8 +355,8 @@
         true
     }
 
-    /// Takes back what is queued of an answer, but for a record that has begun to leave: its client has
-    /// stopped waiting, and the request's number may be used again.
+    /// Removes the queued records of an answer, except a record that is partly written. The client has
+    /// aborted the request and may reuse its id.
     fn retract_answer(&mut self, request: u16) {
         let begun = usize::from(self.front_written > 0).min(self.output_queue.len());
         let mut kept = self.output_queue.split_off(begun);
@@ -356,8 +368,8 @@
         self.retracted_bytes += bytes;
     }
 
-    /// Nothing more is read from it: what is half there is dropped, what has come whole is still owed its answer, and then
-    /// it is closed.
+    /// Stops reading and drops incomplete requests. Complete requests are still answered; then the connection
+    /// is closed.
     pub fn stop_reading(&mut self, reason: ClientClose) {
         self.close_when_done = Some(reason);
         self.reading_stopped = true;
@@ -366,12 +378,12 @@
         self.buffered_bytes = 0;
     }
 
-    /// When the latest of its requests began to come, answered or not; `None`: nothing is owed on it.
+    /// Returns when the latest request began, answered or not; `None` if nothing is open or unwritten.
     pub fn latest_request_at(&self) -> Option<Millis> {
         self.latest_request_at.filter(|_| !self.all_answers_sent())
     }
 
-    /// Turns away the requests that are half there: each is owed an answer, whatever still comes of it.
+    /// Rejects all incomplete requests. Each of them is owed an answer; the rest of their input is discarded.
     pub fn reject_incomplete(&mut self) -> Vec<ClientEvent> {
         let mut cut = Vec::new();
         for open in self.open.values_mut().filter(|open| open.is_incomplete()) {
@@ -382,28 +394,31 @@
         cut
     }
 
-    /// Whether nothing is owed on it any more: nothing is open or unwritten, though a record may be half there.
+    /// Whether no request is open and no answer unwritten. A partial record may be buffered.
     pub fn all_answers_sent(&self) -> bool {
         self.open.is_empty() && self.unwritten_bytes == 0
     }
 
-    /// When its client has read what was written, if it is slow. It sees a close only behind that, and sends until then.
+    /// Returns the time by which a slow client has read what was written. The client sees a close only after
+    /// that, and may send requests until then.
     pub fn client_read_by(&self) -> Millis {
         self.client_read_by
     }
 
-    /// Whether it could be closed now though half a record may be there: nothing is owed, and its client sees the close at
-    /// once.
+    /// Whether the connection may be closed although a partial record may be buffered: no answer is owed, and
+    /// the client sees the close at once.
     pub fn can_close(&self, now: Millis) -> bool {
         self.all_answers_sent() && now >= self.client_read_by
     }
 
-    /// Whether it could be closed now with nothing lost that has been read: nothing is open, half read or unwritten.
+    /// Whether the connection may be closed without loss: no request is open, no answer unwritten and no
+    /// partial record buffered.
     pub fn can_close_cleanly(&self, now: Millis) -> bool {
         self.can_close(now) && self.decoder.pending() == 0
     }
 
-    /// How it stands with the clock. A client is owed word or a close soon, and descriptors are few.
+    /// Checks the timeouts of the connection and of its incomplete requests. Clients need a prompt answer or
+    /// close, and file descriptors are scarce.
     pub fn check_timeouts(&mut self, now: Millis) -> TimeoutStatus {
         let quiet = self.open.is_empty() && self.unwritten_bytes == 0;
         let silent = quiet && !self.had_request && now - self.opened_at > REQUEST_READ_TIMEOUT_MS;
@@ -430,8 +445,9 @@
         TimeoutStatus::Requests(late)
     }
 
-    /// Its place among those to be shed when descriptors are short, first to last: those that have never asked
-    /// anything, then the longest idle ones. `None`: it is in use, or too young to tell.
+    /// Returns the order in which connections are shed when file descriptors run short, lowest first:
+    /// connections that never had a request, then those that are idle for longest. `None` if the connection
+    /// is in use, or too young to tell.
     pub fn shed_priority(&self, now: Millis) -> Option<(bool, u64)> {
         let since = if self.had_request { self.last_activity_at } else { self.opened_at };
         let awaits = self.open.values().any(|open| !open.is_incomplete());
@@ -439,22 +455,22 @@
         (!used && now - since > MIN_SHED_AGE_MS).then_some((self.had_request, since as u64))
     }
 
-    /// Bytes of requests that are still coming in.
+    /// Returns the number of bytes buffered for incomplete requests.
     pub fn buffered_bytes(&self) -> usize {
         self.buffered_bytes + self.decoder.pending()
     }
 
-    /// Bytes that were taken back since the last call.
+    /// Returns the number of bytes removed from the queue by aborts since the last call.
     pub fn take_retracted_bytes(&mut self) -> usize {
         std::mem::take(&mut self.retracted_bytes)
     }
 
-    /// The next bytes to write.
+    /// Returns the next bytes to write.
     pub fn output(&self) -> Option<&[u8]> {
         self.output_queue.front().map(|(_, record)| &record[self.front_written..])
     }
 
-    /// So many of them have been written.
+    /// Records that `bytes` of the output were written.
     pub fn wrote(&mut self, now: Millis, bytes: usize) {
         (self.last_activity_at, self.last_write_at) = (now, now);
         let was_full = self.blocked_since.take().is_some_and(|since| now - since > SHORT_BLOCK_MS);
@@ -470,64 +486,66 @@
         }
     }
 
-    /// The system takes no more for its client just now.
+    /// Records that the socket accepts no more bytes for now.
     pub fn write_blocked(&mut self, now: Millis) {
         self.blocked_since.get_or_insert(now);
     }
 
-    /// Requests that are open on it, half read ones among them.
+    /// Returns the number of open requests, including incomplete ones.
     pub fn open_requests(&self) -> usize {
         self.open.len()
     }
 
-    /// Requests that are open on it and began to come after `since`.
+    /// Returns the number of open requests that began after `since`.
     pub fn open_requests_after(&self, since: Millis) -> usize {
         self.open.values().filter(|open| open.started_at > since).count()
     }
 
-    /// Requests that have come whole on it and are owed an answer.
+    /// Returns the number of complete requests that are not answered yet.
     pub fn owed_answers(&self) -> usize {
         self.open.values().filter(|open| open.stage == Stage::Complete).count()
     }
 
-    /// Bytes that are still to be written.
+    /// Returns the number of bytes that are queued and not yet written.
     pub fn unwritten_bytes(&self) -> usize {
         self.unwritten_bytes
     }
 
-    /// Whether it may be read from.
+    /// Whether the connection may be read.
     pub fn may_read(&self) -> bool {
         !self.reading_stopped && self.unwritten_bytes < STOP_READING_UNWRITTEN_BYTES
     }
 
-    /// Why it is to be closed now: all that is owed on it has left, and nothing more is wanted.
+    /// Returns why the connection is to be closed, once nothing is open or queued on it.
     pub fn close_reason(&self) -> Option<ClientClose> {
         self.close_when_done.filter(|_| self.output_queue.is_empty() && self.open.is_empty())
     }
 }
 
-/// The one value of a parameter; `None` where it is absent or empty.
+/// Returns the value of a parameter; `None` if it is absent or empty. A parameter that occurs twice is an
+/// error.
 fn param<'a>(pairs: &[(&'a [u8], &'a [u8])], name: &'static str) -> Result<Option<&'a str>, &'static str> {
     let mut given = pairs.iter().filter(|(given, _)| *given == name.as_bytes());
     let first = given.next().map_or(&b""[..], |(_, value)| *value);
     if given.next().is_some() {
-        return Err("a parameter comes twice"); // Who reads the other one sees another request.
+        // A reader that takes the other value would see another request.
+        return Err("a parameter comes twice");
     }
     let text = std::str::from_utf8(first).map_err(|_| "a parameter is no text")?;
     Ok(Some(text).filter(|text| !text.is_empty()))
 }
 
-/// Whether a value can stand in a list of fields on the way to a machine.
+/// Whether a value may stand in the comma-separated field list of a request to a machine.
 fn is_field_value(text: &str) -> bool {
     text.len() <= 128 && text.bytes().all(|byte| byte.is_ascii_graphic() && !b",=".contains(&byte))
 }
 
-/// Whether it is an id as the protocol has them.
+/// Whether the text is an id as the protocol specifies it: 16 hexadecimal digits.
 fn is_hex_id(text: &str) -> bool {
     text.len() == 16 && text.bytes().all(|byte| byte.is_ascii_hexdigit())
 }
 
-/// Reads a figure within its bounds; not a number is in none.
+/// Parses a number between 0 and `most`; rejects NaN.
 fn number_within(text: &str, most: f64, why: &'static str) -> Result<f64, &'static str> {
     text.parse::<f64>().ok().filter(|figure| (0.0..=most).contains(figure)).ok_or(why)
 }
@@ -537,8 +555,8 @@
     text.parse().ok().filter(|number| digits && *number <= most).ok_or(why)
 }
 
-/// Reads the fields of a request. What is out of form goes no further: a machine would answer it with an error,
-/// or end the connection with all that is on it.
+/// Parses the parameters of a request. Malformed requests are not forwarded: a machine would answer with an
+/// error, or close the connection with all attempts on it.
 fn parse_request(pairs: &[(&[u8], &[u8])], body: Vec<u8>) -> Result<Ask, &'static str> {
     let text = |name: &'static str| param(pairs, name);
     let class = text("SCRIPT_NAME")?.and_then(|path| path.strip_prefix("/ops/")).ok_or("no such path")?;
--- a/src/resp.rs
+++ b/src/resp.rs
@@ -1,46 +1,46 @@
-//! The RESP codec: arrays of bulk strings. Pure, incremental and bounded.
+//! RESP codec for arrays of bulk strings. Incremental, bounded in memory, and without I/O.
 
 use crate::bytes::Bytes;
 
-/// Parts of one frame, at most.
+/// Most parts of one frame.
 const MAX_PARTS: usize = 8;
-/// Bytes of one part, at most: an object has 240,000 at most.
+/// Most bytes of one part; objects have up to 240,000 bytes.
 const MAX_PART_BYTES: usize = 256 * 1024;
-/// Bytes of a line that gives a length.
+/// Most bytes of a line that holds a length.
 const MAX_LENGTH_LINE_BYTES: usize = 16;
 
-/// Why bytes can't be read; the connection ends.
+/// Why the input can't be parsed. The connection must be closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ProtocolError(pub &'static str);
 
-/// Turns bytes into frames, wherever they are split.
+/// Incremental decoder from bytes to frames.
 #[derive(Debug, Default)]
 pub struct Decoder {
     bytes: Bytes,
-    /// Parts of the frame that are still to come.
+    /// Parts of the current frame that are not decoded yet.
     parts_remaining: usize,
-    /// Length of the part that comes now.
+    /// Length of the next part in bytes, once its length line is decoded.
     part_length: Option<usize>,
     parts: Vec<Vec<u8>>,
 }
 
 impl Decoder {
-    /// Takes bytes in.
+    /// Adds received bytes.
     pub fn feed(&mut self, bytes: &[u8]) {
         self.bytes.feed(bytes);
     }
 
-    /// Whether a frame has begun and isn't whole yet.
+    /// Whether a frame has begun and is incomplete.
     pub fn has_partial_frame(&self) -> bool {
         self.parts_remaining > 0 || !self.bytes.rest().is_empty()
     }
 
-    /// A line's number, once the line is whole.
+    /// Parses a length line that starts with `prefix`. Returns `None` while the line is incomplete.
     fn read_length_line(&mut self, prefix: u8, max: usize) -> Result<Option<usize>, ProtocolError> {
         let rest = self.bytes.rest();
         let Some(end) = rest.iter().take(MAX_LENGTH_LINE_BYTES).position(|byte| *byte == b'\n') else {
             return if rest.len() >= MAX_LENGTH_LINE_BYTES {
-                Err(ProtocolError("a length is too long"))
+                Err(ProtocolError("length line too long"))
             } else {
                 Ok(None)
             };
@@ -48,12 +48,12 @@
         let digits = rest[..end].strip_prefix(&[prefix]).and_then(|line| line.strip_suffix(b"\r"));
         let digits = digits.filter(|digits| !digits.is_empty() && digits.iter().all(u8::is_ascii_digit));
         let number = digits.and_then(|digits| std::str::from_utf8(digits).ok()?.parse::<usize>().ok());
-        let number = number.filter(|number| *number <= max).ok_or(ProtocolError("a length can't be read"))?;
+        let number = number.filter(|number| *number <= max).ok_or(ProtocolError("invalid length"))?;
         self.bytes.advance(end + 1);
         Ok(Some(number))
     }
 
-    /// The next whole frame.
+    /// Returns the next complete frame, if there is one.
     pub fn next_frame(&mut self) -> Result<Option<Vec<Vec<u8>>>, ProtocolError> {
         loop {
             if let Some(length) = self.part_length {
@@ -62,7 +62,7 @@
                 };
                 let Some(end) = rest.first_chunk::<2>() else { return Ok(None) };
                 if end != b"\r\n" {
-                    return Err(ProtocolError("a part has no end"));
+                    return Err(ProtocolError("bulk string without final CRLF"));
                 }
                 self.parts.push(part.to_vec());
                 self.bytes.advance(length + 2);
@@ -78,7 +78,7 @@
                 }
             } else {
                 match self.read_length_line(b'*', MAX_PARTS)? {
-                    Some(0) => return Err(ProtocolError("an empty frame")),
+                    Some(0) => return Err(ProtocolError("empty array")),
                     Some(parts) => self.parts_remaining = parts,
                     None => return Ok(None),
                 }
@@ -87,7 +87,7 @@
     }
 }
 
-/// One frame's bytes.
+/// Encodes one frame.
 pub fn frame(parts: &[&[u8]]) -> Vec<u8> {
     let mut out = format!("*{}\r\n", parts.len()).into_bytes();
     for part in parts {
--- a/tests/connections.rs
+++ b/tests/connections.rs
@@ -1,4 +1,5 @@
-//! Models of a connection's states, against which random steps are checked. Seeded: each run takes the same.
+//! Client and machine connections checked against simple models by random steps, with a fixed seed, and
+//! single rules of both.
 
 use frostturn::addresses::Listing;
 use frostturn::api::*;
@@ -12,18 +13,18 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-/// What a connection has brought, where all of it can be read.
-fn whole(
-    (heard, fault): (Vec<ClientEvent>, Option<ProtocolError>),
+/// Returns the received events, or the error if the input can't be parsed.
+fn events(
+    (received, error): (Vec<ClientEvent>, Option<ProtocolError>),
 ) -> Result<Vec<ClientEvent>, ProtocolError> {
-    fault.map_or(Ok(heard), Err)
+    error.map_or(Ok(received), Err)
 }
 
 fn check(property: impl Testable) {
     QuickCheck::new().rng(Gen::from_size_and_seed(120, 7)).tests(200).quickcheck(property);
 }
 
-/// A client's steps on one connection, and the router's.
+/// A step of a client, or of the router, on one connection.
 #[derive(Clone, Debug)]
 enum ClientStep {
     Ask { request: u16, body: usize, cut: usize },
@@ -55,7 +56,7 @@
     out
 }
 
-fn asking(request: u16, path: &str, id: &str, body: &[u8]) -> Vec<u8> {
+fn request_bytes(request: u16, path: &str, id: &str, body: &[u8]) -> Vec<u8> {
     let (mut out, mut params) = (begin(request, 1), Vec::new());
     let fields = [("SCRIPT_NAME", path), ("HTTP_X_REQUEST_ID", id), ("HTTP_X_TIMEOUT_MS", "1500")];
     for (name, value) in
@@ -63,7 +64,7 @@
     {
         fastcgi::pair(&mut params, name.as_bytes(), value.as_bytes());
     }
-    // Split where it hurts: within a pair.
+    // Splits the parameters within a pair.
     let (first, second) = params.split_at(params.len() / 3);
     for (what, content) in [(kind::PARAMS, first), (kind::PARAMS, second), (kind::PARAMS, b"")] {
         fastcgi::record(&mut out, what, request, content);
@@ -73,7 +74,7 @@
     out
 }
 
-/// What a client makes of the records that it gets.
+/// A client that decodes the records it receives.
 #[derive(Default)]
 struct Client {
     decoder: Decoder,
@@ -99,19 +100,20 @@
     }
 }
 
-/// With so much that its client hasn't read, a connection turns further requests away.
+/// With more bytes unwritten, a connection rejects new requests.
 const REJECT_UNWRITTEN_BYTES: usize = 1 << 20;
 
 #[test]
-fn a_client_connection_answers_each_open_request_once_and_whole() {
+fn each_open_client_request_is_answered_exactly_once_and_completely() {
     fn property(steps: Vec<ClientStep>) -> bool {
         let (mut conn, mut client) = (Conn::new(0.0), Client::default());
-        // The model: open requests and, for whole ones, their number here; answers owed to the client.
+        // The model: open requests, with their serial number once they are complete, and the answers owed to
+        // the client.
         let mut open: BTreeMap<u16, Option<u64>> = BTreeMap::new();
         let mut owed: Vec<(u16, u8, usize)> = Vec::new();
-        // Requests whose answer the client has not seen to its end: their numbers aren't used again yet.
+        // Requests whose answer the client has not read to its end: their ids are not reused yet.
         let mut unseen: BTreeSet<u16> = BTreeSet::new();
-        // Of these, those aborted: what has begun to leave may still come, and is thrown away.
+        // Aborted requests among these: a partly written answer may still arrive and is ignored.
         let mut excused: BTreeSet<u16> = BTreeSet::new();
         for step in steps {
             match step {
@@ -119,8 +121,8 @@
                     if open.contains_key(&request) || unseen.contains(&request) => {}
                 ClientStep::Half { request } => {
                     let full = open.len() >= 32 || conn.unwritten_bytes() >= REJECT_UNWRITTEN_BYTES;
-                    let heard = whole(conn.receive(0.0, &begin(request, 1))).expect("well-formed");
-                    assert_eq!(heard, []);
+                    let received = events(conn.receive(0.0, &begin(request, 1))).expect("well-formed");
+                    assert_eq!(received, []);
                     if full {
                         owed.push((request, 2, 0));
                         unseen.insert(request);
@@ -129,19 +131,21 @@
                     }
                 }
                 ClientStep::Ask { request, body, cut } => {
-                    let sent = asking(request, "/ops/page", ID, &vec![7; body]);
+                    let sent = request_bytes(request, "/ops/page", ID, &vec![7; body]);
                     let full = open.len() >= 32 || conn.unwritten_bytes() >= REJECT_UNWRITTEN_BYTES;
-                    let mut heard = Vec::new();
+                    let mut received = Vec::new();
                     for part in sent.chunks(cut) {
-                        heard.extend(whole(conn.receive(0.0, part)).expect("well-formed"));
+                        received.extend(events(conn.receive(0.0, part)).expect("well-formed"));
                     }
                     if full {
-                        assert_eq!(heard, []);
+                        assert_eq!(received, []);
                         owed.push((request, 2, 0));
                         unseen.insert(request);
                         continue;
                     }
-                    let [ClientEvent::Request(serial, asked, _)] = &heard[..] else { panic!("{heard:?}") };
+                    let [ClientEvent::Request(serial, asked, _)] = &received[..] else {
+                        panic!("{received:?}")
+                    };
                     let Ok(ask) = asked else {
                         assert!(body > 64 * 1024, "{asked:?}");
                         open.insert(request, Some(*serial));
@@ -154,8 +158,8 @@
                 ClientStep::Abort { request } => {
                     let mut out = Vec::new();
                     fastcgi::record(&mut out, kind::ABORT, request, b"");
-                    let heard = whole(conn.receive(0.0, &out)).expect("well-formed");
-                    assert_eq!(heard.len(), usize::from(open.remove(&request).is_some()));
+                    let received = events(conn.receive(0.0, &out)).expect("well-formed");
+                    assert_eq!(received.len(), usize::from(open.remove(&request).is_some()));
                     if unseen.contains(&request) {
                         excused.insert(request);
                     }
@@ -166,7 +170,10 @@
                         continue;
                     };
                     let reply = Reply::Served(vec![9; body]);
-                    assert!(conn.answer(serial, &reply) && !conn.answer(serial, &reply), "once");
+                    assert!(
+                        conn.answer(serial, &reply) && !conn.answer(serial, &reply),
+                        "each request is answered once"
+                    );
                     open.remove(&request);
                     owed.push((request, 0, body));
                     unseen.insert(request);
@@ -195,20 +202,20 @@
         };
         owed.retain(|(request, ..)| !excused.contains(request));
         client.ended.retain(|(request, ..)| !excused.contains(request));
-        assert_eq!(client.ended.iter().map(heads).collect::<Vec<_>>(), owed, "in order, whole, once");
+        assert_eq!(client.ended.iter().map(heads).collect::<Vec<_>>(), owed, "in order, completely and once");
         conn.unwritten_bytes() == 0
     }
     check(property as fn(Vec<ClientStep>) -> bool);
 }
 
 #[test]
-fn an_answer_that_was_aborted_is_taken_back_but_for_a_record_that_has_begun() {
+fn an_abort_removes_the_queued_answer_except_a_partly_written_record() {
     for written in [0, 5, 40_000] {
         let mut conn = Conn::new(0.0);
         for request in [1, 2] {
-            let heard =
-                whole(conn.receive(0.0, &asking(request, "/ops/page", ID, b""))).expect("well-formed");
-            assert_eq!(heard.len(), 1);
+            let received = events(conn.receive(0.0, &request_bytes(request, "/ops/page", ID, b"")))
+                .expect("well-formed");
+            assert_eq!(received.len(), 1);
         }
         assert!(conn.answer(1, &Reply::Served(vec![1; 200_000])) && conn.answer(2, &Reply::Unchanged));
         let (mut left, mut client) = (written, Client::default());
@@ -221,7 +228,7 @@
         }
         let mut out = Vec::new();
         fastcgi::record(&mut out, kind::ABORT, 1, b"");
-        assert_eq!(whole(conn.receive(0.0, &out)), Ok(vec![]));
+        assert_eq!(events(conn.receive(0.0, &out)), Ok(vec![]));
         assert!(conn.take_retracted_bytes() > 100_000);
         while let Some(bytes) = conn.output().map(<[u8]>::to_vec) {
             conn.wrote(0.0, bytes.len());
@@ -236,31 +243,31 @@
 }
 
 #[test]
-fn a_client_that_does_not_read_is_turned_away_and_heard_all_the_same() {
+fn a_client_that_does_not_read_is_rejected_but_still_read() {
     let mut conn = Conn::new(0.0);
     for request in 1..=6 {
-        whole(conn.receive(0.0, &asking(request, "/ops/page", ID, b""))).expect("well-formed");
+        events(conn.receive(0.0, &request_bytes(request, "/ops/page", ID, b""))).expect("well-formed");
     }
     for serial in 1..=5 {
         assert!(conn.answer(serial, &Reply::Served(vec![9; 240_000])));
     }
     assert!(
         conn.unwritten_bytes() > REJECT_UNWRITTEN_BYTES && conn.may_read(),
-        "it may still take something back"
+        "the client may still abort requests"
     );
     assert_eq!(
-        whole(conn.receive(0.0, &asking(7, "/ops/page", ID, b""))),
+        events(conn.receive(0.0, &request_bytes(7, "/ops/page", ID, b""))),
         Ok(vec![]),
-        "nothing more is taken"
+        "new requests are rejected"
     );
     let mut out = Vec::new();
     fastcgi::record(&mut out, kind::ABORT, 6, b"");
-    assert_eq!(whole(conn.receive(0.0, &out)), Ok(vec![ClientEvent::Aborted(6)]));
-    // It goes on asking for ever: what it is told for that is bounded as well.
+    assert_eq!(events(conn.receive(0.0, &out)), Ok(vec![ClientEvent::Aborted(6)]));
+    // A client that keeps sending requests: the rejections queued for it are bounded as well.
     let mut asked = 0;
     while conn.may_read() {
         asked += 1;
-        whole(conn.receive(0.0, &asking(8, "/ops/page", ID, b""))).expect("well-formed");
+        events(conn.receive(0.0, &request_bytes(8, "/ops/page", ID, b""))).expect("well-formed");
     }
     assert!(asked > 10_000 && conn.unwritten_bytes() < 3 * REJECT_UNWRITTEN_BYTES, "{asked}");
     let mut client = Client::default();
@@ -272,56 +279,58 @@
     assert_eq!(
         (served, client.ended.len() as u64),
         (5, 5 + 1 + asked),
-        "what it was owed, and a refusal each"
+        "the owed answers, and one rejection per further request"
     );
 }
 
 #[test]
-fn what_is_coming_in_is_counted_until_it_is_whole_or_gone() {
+fn buffered_bytes_are_counted_until_the_request_is_complete_or_aborted() {
     let mut abort = Vec::new();
     fastcgi::record(&mut abort, kind::ABORT, 1, b"");
-    let sent = asking(1, "/ops/page", ID, &[7; 60_000]);
+    let sent = request_bytes(1, "/ops/page", ID, &[7; 60_000]);
     let (most, end) = sent.split_at(sent.len() - 8);
     for last in [end, &abort] {
         let mut conn = Conn::new(0.0);
-        whole(conn.receive(0.0, most)).expect("well-formed");
+        events(conn.receive(0.0, most)).expect("well-formed");
         assert!(conn.buffered_bytes() > 60_000);
-        whole(conn.receive(0.0, last)).expect("well-formed");
+        events(conn.receive(0.0, last)).expect("well-formed");
         assert_eq!(conn.buffered_bytes(), 0);
     }
 }
 
 #[test]
-fn a_client_that_takes_nothing_is_let_go_of_though_it_goes_on_sending() {
+fn a_client_that_accepts_no_bytes_is_closed_although_it_keeps_sending() {
     let mut conn = Conn::new(0.0);
-    whole(conn.receive(0.0, &asking(1, "/ops/page", ID, b""))).expect("well-formed");
+    events(conn.receive(0.0, &request_bytes(1, "/ops/page", ID, b""))).expect("well-formed");
     assert!(conn.answer(1, &Reply::Served(vec![7; 1000])));
     conn.wrote(100.0, 10);
     let mut last_good = 100.0;
     for serial in 2..300 {
         let at = 100.0 + 200.0 * serial as f64;
-        whole(conn.receive(at, &asking(2, "/ops/page", ID, b""))).expect("well-formed");
+        events(conn.receive(at, &request_bytes(2, "/ops/page", ID, b""))).expect("well-formed");
         assert!(conn.answer(serial, &Reply::Refused { hold_off_ms: None, reason: Refusal::Draining }));
         if conn.check_timeouts(at) != TimeoutStatus::Ok {
             break;
         }
         last_good = at;
     }
-    assert!((6000.0..6400.0).contains(&last_good), "still held at {last_good}");
+    assert!((6000.0..6400.0).contains(&last_good), "still open at {last_good}");
 }
 
 #[test]
-fn a_client_that_is_silent_half_done_deaf_or_gone_is_told_from_one_that_awaits_an_answer() {
+fn timeouts_distinguish_silent_incomplete_stalled_and_idle_clients_from_waiting_ones() {
     assert_eq!(Conn::new(1000.0).check_timeouts(2900.0), TimeoutStatus::Ok);
     assert_eq!(
         Conn::new(1000.0).check_timeouts(3100.0),
         TimeoutStatus::Connection(ClientClose::Silent),
-        "it never says anything"
+        "no request was ever sent"
     );
     let mut conn = Conn::new(0.0);
-    whole(conn.receive(10.0, &begin(1, 1))).expect("well-formed");
-    // Its first request never comes to its end: it is told so, and the close comes after, as for any that rests.
-    let TimeoutStatus::Requests(late) = conn.check_timeouts(2100.0) else { panic!("it is late") };
+    events(conn.receive(10.0, &begin(1, 1))).expect("well-formed");
+    // An incomplete first request is rejected; the connection then closes as any idle one does.
+    let TimeoutStatus::Requests(late) = conn.check_timeouts(2100.0) else {
+        panic!("incomplete for too long")
+    };
     assert!(
         matches!(late[..], [ClientEvent::Request(1, Err(_), _)])
             && conn.check_timeouts(2100.0) == TimeoutStatus::Ok
@@ -332,26 +341,28 @@
     assert_eq!(conn.check_timeouts(6600.0), TimeoutStatus::Ok);
     assert_eq!(conn.check_timeouts(6800.0), TimeoutStatus::Connection(ClientClose::Idle));
     let mut conn = Conn::new(0.0);
-    whole(conn.receive(10.0, &asking(2, "/ops/page", ID, b""))).expect("well-formed");
+    events(conn.receive(10.0, &request_bytes(2, "/ops/page", ID, b""))).expect("well-formed");
     assert_eq!(
         (conn.check_timeouts(9000.0), conn.shed_priority(9000.0)),
         (TimeoutStatus::Ok, None),
-        "it awaits an answer"
+        "the client awaits an answer"
     );
-    // Half a request beside it is turned away alone, once, and what still comes of it is passed over.
-    whole(conn.receive(5000.0, &begin(1, 1))).expect("well-formed");
-    let TimeoutStatus::Requests(late) = conn.check_timeouts(7100.0) else { panic!("it is late") };
+    // An incomplete request beside a complete one is rejected alone and once, and the rest of it is ignored.
+    events(conn.receive(5000.0, &begin(1, 1))).expect("well-formed");
+    let TimeoutStatus::Requests(late) = conn.check_timeouts(7100.0) else {
+        panic!("incomplete for too long")
+    };
     assert!(
         matches!(late[..], [ClientEvent::Request(2, Err(_), _)])
             && conn.check_timeouts(7100.0) == TimeoutStatus::Ok
     );
-    let rest = asking(1, "/ops/page", ID, b"").split_off(16);
-    assert_eq!(whole(conn.receive(7200.0, &rest)), Ok(vec![]));
+    let rest = request_bytes(1, "/ops/page", ID, b"").split_off(16);
+    assert_eq!(events(conn.receive(7200.0, &rest)), Ok(vec![]));
     assert!(conn.answer(2, &Reply::Failed(Failure::BadRequest("late"))) && conn.answer(1, &Reply::Unchanged));
     assert_eq!(
         (conn.check_timeouts(13_000.0), conn.check_timeouts(13_300.0)),
         (TimeoutStatus::Ok, TimeoutStatus::Connection(ClientClose::Deaf)),
-        "deaf"
+        "the client accepts no bytes"
     );
     let unwritten = conn.unwritten_bytes();
     conn.wrote(7300.0, unwritten);
@@ -360,53 +371,58 @@
         (TimeoutStatus::Ok, TimeoutStatus::Connection(ClientClose::Idle)),
         "idle"
     );
-    // When descriptors are short the silent go first, then those that rest.
+    // Connections without any request are shed first, then idle ones.
     assert!(
         Conn::new(9000.0).shed_priority(9100.0) < conn.shed_priority(9100.0)
             && conn.shed_priority(9100.0).is_some()
     );
-    assert_eq!(Conn::new(9000.0).shed_priority(9010.0), None, "its first bytes may be there, unread");
+    assert_eq!(
+        Conn::new(9000.0).shed_priority(9010.0),
+        None,
+        "its first bytes may have arrived without having been read"
+    );
 }
 
 #[test]
-fn a_body_without_end_is_answered_soon_thrown_away_and_cut_off_some_time() {
+fn an_endless_body_is_rejected_at_once_then_discarded_and_finally_an_error() {
     let mut conn = Conn::new(0.0);
-    let sent = asking(1, "/ops/page", ID, &[7; 140_000]);
-    let heard = whole(conn.receive(0.0, &sent[..sent.len() - 8])).expect("well-formed");
-    assert!(matches!(heard[..], [ClientEvent::Request(1, Err(_), _)]), "before its end: {heard:?}");
+    let sent = request_bytes(1, "/ops/page", ID, &[7; 140_000]);
+    let received = events(conn.receive(0.0, &sent[..sent.len() - 8])).expect("well-formed");
+    assert!(matches!(received[..], [ClientEvent::Request(1, Err(_), _)]), "before its end: {received:?}");
     let mut more = Vec::new();
     fastcgi::record(&mut more, kind::STDIN, 1, &[7; 60_000]);
-    assert_eq!(whole(conn.receive(0.0, &more)), Ok(vec![]));
+    assert_eq!(events(conn.receive(0.0, &more)), Ok(vec![]));
     assert!(
         conn.answer(1, &Reply::Failed(Failure::BadRequest("too big"))) && conn.buffered_bytes() == 0,
-        "nothing of it is kept"
+        "nothing of the body is kept"
     );
-    let most = (0..2000).take_while(|_| whole(conn.receive(0.0, &more)).is_ok()).count();
-    assert!(most > 1000 && most < 1200, "60 MB pass, not more and more: {most}");
+    let most = (0..2000).take_while(|_| events(conn.receive(0.0, &more)).is_ok()).count();
+    assert!(most > 1000 && most < 1200, "60 MB are discarded, not any amount: {most}");
 }
 
 #[test]
-fn what_is_asked_and_taken_back_in_one_breath_is_never_told() {
-    let mut sent = asking(1, "/ops/page", ID, b"");
+fn a_request_aborted_in_the_same_input_causes_no_event() {
+    let mut sent = request_bytes(1, "/ops/page", ID, b"");
     fastcgi::record(&mut sent, kind::ABORT, 1, b"");
-    assert_eq!(whole(Conn::new(0.0).receive(0.0, &sent.repeat(300))), Ok(vec![]));
+    assert_eq!(events(Conn::new(0.0).receive(0.0, &sent.repeat(300))), Ok(vec![]));
 }
 
 #[test]
-fn malformed_records_are_faults_and_bad_fields_are_not() {
-    let whole = |bytes: &[u8]| whole(Conn::new(0.0).receive(0.0, bytes));
-    assert!(whole(&[9, 1, 0, 1, 0, 0, 0, 0]).is_err(), "another version");
-    assert!(whole(&[begin(3, 1), begin(3, 1)].concat()).is_err(), "begun twice");
+fn malformed_records_are_errors_and_invalid_fields_are_rejected_requests() {
+    let receive = |bytes: &[u8]| events(Conn::new(0.0).receive(0.0, bytes));
+    assert!(receive(&[9, 1, 0, 1, 0, 0, 0, 0]).is_err(), "unknown version");
+    assert!(receive(&[begin(3, 1), begin(3, 1)].concat()).is_err(), "request id in use");
     let mut impossible = begin(3, 1);
     fastcgi::record(&mut impossible, kind::PARAMS, 3, &[200, 255, 255, 255, 1, b'x']);
     fastcgi::record(&mut impossible, kind::PARAMS, 3, b"");
     fastcgi::record(&mut impossible, kind::STDIN, 3, b"");
-    assert!(whole(&impossible).is_err(), "a length beyond the parameters");
+    assert!(receive(&impossible).is_err(), "a length beyond the parameters");
     for (path, id) in [("/ops/page", ""), ("/ops/page", "a,b=c"), ("/elsewhere", ID)] {
-        let heard = whole(&asking(3, path, id, b"")).expect("the connection goes on");
-        assert!(matches!(heard[..], [ClientEvent::Request(_, Err(_), _)]), "{heard:?}");
+        let received = receive(&request_bytes(3, path, id, b"")).expect("the connection stays usable");
+        assert!(matches!(received[..], [ClientEvent::Request(_, Err(_), _)]), "{received:?}");
     }
-    // Each of these would end a machine's connection, be answered with an error, or upset the forecast.
+    // Each of these would make a machine close its connection or answer with an error, or would distort the
+    // load forecast.
     for (name, value) in [
         ("HTTP_X_TIMEOUT_MS", "NaN"),
         ("HTTP_X_CHUNK", "-1"),
@@ -421,24 +437,24 @@
         ("CONTENT_LENGTH", "-1"),
         ("CONTENT_LENGTH", "7"),
     ] {
-        let mut sent = asking(3, "/ops/page", ID, b"");
+        let mut sent = request_bytes(3, "/ops/page", ID, b"");
         let mut params = Vec::new();
         fastcgi::pair(&mut params, name.as_bytes(), value.as_bytes());
         let mut record = Vec::new();
         fastcgi::record(&mut record, kind::PARAMS, 3, &params);
         sent.splice(16..16, record);
-        let heard = whole(&sent).expect("the connection goes on");
-        assert!(matches!(heard[..], [ClientEvent::Request(1, Err(_), _)]), "{name}={value}: {heard:?}");
+        let received = receive(&sent).expect("the connection stays usable");
+        assert!(matches!(received[..], [ClientEvent::Request(1, Err(_), _)]), "{name}={value}: {received:?}");
     }
-    let heard = whole(&asking(3, "/alive", "", b"")).expect("well-formed");
-    assert!(matches!(heard[..], [ClientEvent::HealthCheck(1)]));
-    let noise = |bytes: Vec<u8>| whole_survives(&bytes);
+    let received = receive(&request_bytes(3, "/alive", "", b"")).expect("well-formed");
+    assert!(matches!(received[..], [ClientEvent::HealthCheck(1)]));
+    let noise = |bytes: Vec<u8>| survives(&bytes);
     check(noise as fn(Vec<u8>) -> bool);
 }
 
-fn whole_survives(bytes: &[u8]) -> bool {
-    let _ = whole(Conn::new(0.0).receive(0.0, bytes));
-    let _ = whole(
+fn survives(bytes: &[u8]) -> bool {
+    let _ = events(Conn::new(0.0).receive(0.0, bytes));
+    let _ = events(
         Conn::new(0.0).receive(0.0, &[begin(1, 1), vec![1, 4, 0, 1, 0, 9, 0, 0], bytes.to_vec()].concat()),
     );
     let (mut pool, machine) = (connection_pool(), CacheId::from("m"));
@@ -459,17 +475,17 @@
     pool
 }
 
-/// The notice board has said where a machine listens.
+/// Announces a machine's address.
 fn list_machine(pool: &mut ConnectionPool, machine: &CacheId, port: u16) {
     let listing = Listing { phase: Phase::Serving, address: Some(address(port)), cold_until: None };
     pool.update_listing(machine, listing);
 }
 
-/// The one dial for a connection is up, if it isn't yet.
+/// Connects the only open dial of a connection, if it isn't up yet.
 fn complete_dial(pool: &mut ConnectionPool, now: Millis, key: u64) {
     pool.poll_dials(now);
     if let Some((dial, _)) = pool.dials(key).first().cloned() {
-        assert_eq!(pool.dial_connected(now, key, dial), Some(vec![]), "there is no other");
+        assert_eq!(pool.dial_connected(now, key, dial), Some(vec![]), "no other dial is open");
     }
 }
 
@@ -496,34 +512,30 @@
 }
 
 #[test]
-fn a_request_and_its_answer_are_worded_as_the_protocol_says() {
+fn requests_and_answers_are_encoded_as_specified() {
     let (mut pool, machine) = (connection_pool(), CacheId::from("m"));
     let (key, new) = pool.send(0.0, 5, &machine, &call("a")).expect("room");
-    assert!(new && pool.output(key).is_none(), "not before it is up");
+    assert!(new && pool.output(key).is_none(), "nothing is written before the connection is up");
     complete_dial(&mut pool, 0.0, key);
     let fields = "cls=page,item=7f3a,limit=901,fetch=p,retain=2,newer=15,handle=coalesce+freshen";
     let bytes = resp::frame(&[b"REQ", b"a", fields.as_bytes(), b""]);
     assert_eq!(pool.output(key), Some(&bytes[..]));
     assert_eq!(pool.wrote(0.0, key, 4), Some((5, Progress::PartlyWritten)));
     assert_eq!(pool.wrote(0.0, key, bytes.len() - 4), Some((5, Progress::WrittenWhole)));
-    // One byte at a time.
-    let mut heard = Vec::new();
+    // Byte by byte.
+    let mut received = Vec::new();
     for byte in reply("a", "DONE") {
         let (one, fault) = pool.receive(9.0, key, &[byte]);
         assert_eq!(fault, None);
-        heard.extend(one);
+        received.extend(one);
     }
-    let [EndpointEvent::Answer(5, answer)] = &heard[..] else { panic!("{heard:?}") };
+    let [EndpointEvent::Answer(5, answer)] = &received[..] else { panic!("{received:?}") };
     assert_eq!((answer.outcome, answer.note), (Outcome::Ok, Some(Note::FilledFromOrigin)));
     assert_eq!((answer.source_wait_ms, answer.body.as_slice()), (Some(9.5), &b"bytes\r\n"[..]));
     assert_eq!((answer.report.util, answer.report.link), (Some(0.61), None));
-    assert_eq!(pool.receive(9.0, key, &reply("a", "DONE")).0, [EndpointEvent::Late], "a second copy");
-    assert_eq!(
-        pool.receive(9.0, key, &reply("never", "DONE")).0,
-        [EndpointEvent::Unknown],
-        "an id never issued"
-    );
-    // Nor would the id go out on it again: what still comes under it would be taken for the answer.
+    assert_eq!(pool.receive(9.0, key, &reply("a", "DONE")).0, [EndpointEvent::Late], "a repeated answer");
+    assert_eq!(pool.receive(9.0, key, &reply("never", "DONE")).0, [EndpointEvent::Unknown], "an unknown id");
+    // The id is not sent on this connection again: a late answer under it would be taken for the new one.
     assert_ne!(pool.send(9.0, 6, &machine, &call("a")).map(|(key, _)| key), Ok(key));
     assert!(pool.receive(9.0, key, b"*1\r\n$x\r\n").1.is_some());
 }
@@ -556,10 +568,11 @@
 }
 
 #[test]
-fn an_attempt_ends_once_and_its_progress_is_what_was_written() {
+fn each_attempt_ends_once_and_its_progress_is_what_was_written() {
     fn property(steps: Vec<Step>) -> bool {
         let (mut pool, machine, mut now) = (connection_pool(), CacheId::from("m"), 0.0);
-        // The model: attempts out, their id and connection; what each connection wrote; the ids it gave up.
+        // The model: outstanding attempts with their id and connection, their progress, and what each
+        // connection has written.
         let mut out: BTreeMap<u64, (String, u64)> = BTreeMap::new();
         let mut come: BTreeMap<u64, Progress> = BTreeMap::new();
         let mut wrote: BTreeMap<u64, usize> = BTreeMap::new();
@@ -575,7 +588,7 @@
                         continue;
                     };
                     assert_eq!(new, !wrote.contains_key(&key));
-                    // An id is never on a connection on which its last answer might still come.
+                    // An id is never used on a connection on which an earlier answer to it may still arrive.
                     assert!(out.values().all(|other| *other != (id.clone(), key)));
                     wrote.entry(key).or_default();
                     out.insert(next, (id, key));
@@ -584,7 +597,7 @@
                     let Some(attempt) = out.keys().nth(which % out.len().max(1)).copied() else { continue };
                     let key = out.remove(&attempt).map(|(_, key)| key);
                     assert_eq!(pool.stop(now, attempt), key);
-                    assert_eq!(pool.stop(now, attempt), None, "once");
+                    assert_eq!(pool.stop(now, attempt), None, "an attempt is stopped once");
                 }
                 Step::Up { which } => {
                     pick(which).into_iter().for_each(|key| complete_dial(&mut pool, now, key))
@@ -596,7 +609,7 @@
                     *wrote.entry(key).or_default() += bytes.len();
                     if let Some((attempt, progress)) = pool.wrote(now, key, bytes.len()) {
                         assert!(progress >= Progress::PartlyWritten);
-                        assert_eq!(out[&attempt].1, key, "no byte of one that was given up begins to leave");
+                        assert_eq!(out[&attempt].1, key, "no given-up attempt starts to be written");
                         assert!(come.insert(attempt, progress) <= Some(progress));
                     }
                 }
@@ -604,19 +617,19 @@
                     let Some(attempt) = out.keys().nth(which % out.len().max(1)).copied() else { continue };
                     let (id, key) = out[&attempt].clone();
                     let word = ["DONE", "KEEP", "LACK", "WAIT", "BROKE", "HUH"][word];
-                    let (heard, fault) = pool.receive(now, key, &reply(&id, word));
+                    let (received, fault) = pool.receive(now, key, &reply(&id, word));
                     if word == "HUH" && come.get(&attempt) == Some(&Progress::WrittenWhole) {
-                        // What can't be read ends the connection; here the model goes on with it.
-                        assert!(fault.is_some() && heard.is_empty());
+                        // An unreadable answer ends a connection; the model goes on with it here.
+                        assert!(fault.is_some() && received.is_empty());
                         continue;
                     }
                     assert_eq!(fault, None);
-                    match &heard[..] {
+                    match &received[..] {
                         [EndpointEvent::Answer(of, _)] if *of == attempt => {
                             assert_eq!(come.get(&attempt), Some(&Progress::WrittenWhole));
                             out.remove(&attempt);
                         }
-                        // Nothing can be answered that has not left whole.
+                        // Only a completely written request can be answered.
                         [EndpointEvent::Unknown | EndpointEvent::Late] => {
                             assert!(come.get(&attempt) != Some(&Progress::WrittenWhole))
                         }
@@ -629,20 +642,20 @@
                     let ended = pool.connection_closed(now, key, None);
                     let lost: BTreeSet<u64> = ended.lost.iter().map(|(attempt, _)| *attempt).collect();
                     for (attempt, progress) in ended.lost {
-                        let (_, on) = out.remove(&attempt).expect("it was out");
+                        let (_, on) = out.remove(&attempt).expect("the attempt is outstanding");
                         assert_eq!(on, key);
                         assert_eq!(progress, come.get(&attempt).copied().unwrap_or(Progress::NotConnected));
                     }
                     let moved: Vec<u64> =
                         out.iter().filter(|(_, (_, on))| *on == key).map(|(at, _)| *at).collect();
                     assert!(moved.iter().all(|attempt| !lost.contains(attempt)));
-                    // What moves on had not begun to leave; it goes to one that isn't up yet.
+                    // Only unsent requests move, and only to connections that aren't up yet.
                     assert!(moved.is_empty() || was_up);
                     assert!(ended.moved.iter().all(|to| !pool.is_connected(*to)));
                     for attempt in moved {
                         let (id, _) = out[&attempt].clone();
-                        let to = pool.connection_of(attempt).expect("it is still out");
-                        assert!(ended.moved.contains(&to), "each new one is told of, to be dialled");
+                        let to = pool.connection_of(attempt).expect("the attempt is still outstanding");
+                        assert!(ended.moved.contains(&to), "each new connection is returned, to be dialed");
                         wrote.entry(to).or_default();
                         out.insert(attempt, (id, to));
                     }
@@ -657,7 +670,7 @@
 }
 
 #[test]
-fn what_a_keyed_request_is_known_by_comes_from_the_client_and_goes_to_the_machine() {
+fn idempotency_keys_are_passed_from_the_client_to_the_machine() {
     let ask_with = |key: &str| {
         let (mut out, mut params) = (begin(1, 1), Vec::new());
         for (name, value) in [
@@ -671,24 +684,24 @@
         for (what, content) in [(kind::PARAMS, &params[..]), (kind::PARAMS, b""), (kind::STDIN, b"")] {
             fastcgi::record(&mut out, what, 1, content);
         }
-        let mut heard = whole(Conn::new(0.0).receive(0.0, &out)).expect("well-formed");
-        let Some(ClientEvent::Request(_, asked, _)) = heard.pop() else { panic!("{heard:?}") };
+        let mut received = events(Conn::new(0.0).receive(0.0, &out)).expect("well-formed");
+        let Some(ClientEvent::Request(_, asked, _)) = received.pop() else { panic!("{received:?}") };
         asked
     };
     for bad in ["a,limit=1", "a b", &"x".repeat(129)] {
-        assert!(ask_with(bad).is_err(), "it could pass for another field: {bad}");
+        assert!(ask_with(bad).is_err(), "the key could be parsed as another field: {bad}");
     }
     let ask = ask_with("c7ab15fa3c57c2968256bea080fceb6d").expect("good");
     let (mut pool, machine) = (connection_pool(), CacheId::from("m"));
     let call = Call { ask: ask.into(), ..call("a") };
     let (key, _) = pool.send(0.0, 5, &machine, &call).expect("room");
     complete_dial(&mut pool, 0.0, key);
-    let text = String::from_utf8_lossy(pool.output(key).expect("it is up")).into_owned();
+    let text = String::from_utf8_lossy(pool.output(key).expect("the connection is up")).into_owned();
     assert!(text.contains(",nonce=c7ab15fa3c57c2968256bea080fceb6d\r\n"), "{text}");
 }
 
 #[test]
-fn an_id_that_was_given_up_is_not_used_again_there_however_many_came_after_it() {
+fn a_closed_id_is_not_reused_on_its_connection_after_many_later_requests() {
     let (mut pool, machine) = (connection_pool(), CacheId::from("m"));
     let (key, _) = pool.send(0.0, 1, &machine, &call("a")).expect("room");
     complete_dial(&mut pool, 0.0, key);
@@ -699,21 +712,21 @@
     };
     write(&mut pool, 0.0);
     pool.stop(10.0, 1);
-    // Two hundred requests later, within the time in which its answer may still come, it is tried again.
+    // 200 requests later, while the answer may still arrive, the request is tried again.
     for at in 0..200 {
         let id = format!("other{at}");
         let (other, _) = pool.send(20.0, 10 + at, &machine, &call(&id)).expect("room");
-        assert_eq!(other, key, "one at a time: the same connection");
+        assert_eq!(other, key, "one request at a time uses the same connection");
         write(&mut pool, 20.0);
         assert_eq!(pool.receive(20.0, key, &reply(&id, "DONE")).0.len(), 1);
     }
     let (again, new) = pool.send(500.0, 2, &machine, &call("a")).expect("room");
-    assert!(again != key && new, "its late answer would be taken for the new one's");
+    assert!(again != key && new, "a late answer would be taken for the new one");
     assert_eq!(pool.receive(500.0, key, &reply("a", "DONE")).0, [EndpointEvent::Late]);
 }
 
 #[test]
-fn a_mute_connection_gets_nothing_more_and_a_sound_clears_it() {
+fn an_unresponsive_connection_gets_no_requests_until_it_receives_again() {
     let (mut pool, machine) = (connection_pool(), CacheId::from("m"));
     let (first, _) = pool.send(0.0, 1, &machine, &call("a")).expect("room");
     complete_dial(&mut pool, 0.0, first);
@@ -721,10 +734,10 @@
     pool.wrote(0.0, first, bytes);
     assert_eq!(pool.send(300.0, 2, &machine, &call("b")), Ok((first, false)));
     let (second, new) = pool.send(900.0, 3, &machine, &call("c")).expect("room");
-    assert!(new && second != first, "its machine may have vanished");
+    assert!(new && second != first, "the machine may have vanished");
     pool.receive(950.0, first, &reply("a", "LACK"));
     assert_eq!(pool.send(960.0, 4, &machine, &call("d")), Ok((first, false)));
-    // Nor does one take the id again that it has given up: the old answer could come yet.
+    // A closed id is not reused on its connection either: its old answer may still arrive.
     let bytes = pool.output(first).map_or(0, <[u8]>::len);
     pool.wrote(960.0, first, bytes);
     pool.stop(970.0, 2);
@@ -733,28 +746,28 @@
 }
 
 #[test]
-fn all_connections_that_take_over_from_one_that_closed_are_told_of() {
-    // One that is forgotten is never dialled, and what waits on it is lost.
+fn every_connection_that_takes_over_from_a_closed_one_is_returned() {
+    // Fault: a connection left out of the result is never dialed, and the attempts on it are lost.
     let (mut pool, machine) = (connection_pool(), CacheId::from("m"));
     let (first, _) = pool.send(0.0, 1, &machine, &call("id-1")).expect("room");
     complete_dial(&mut pool, 0.0, first);
     for attempt in 2..=20 {
         pool.send(0.0, attempt, &machine, &call(&format!("id-{attempt}"))).expect("room");
     }
-    assert_eq!(pool.count(), 8, "a bounded number, each dialled only beside crowded ones");
+    assert_eq!(pool.count(), 8, "a bounded number; further ones are dialed only if the others are crowded");
     let own: Vec<u64> = (1..=20).filter(|attempt| pool.connection_of(*attempt) == Some(first)).collect();
     let ended = pool.connection_closed(1.0, first, None);
     let carriers: BTreeSet<u64> = own.iter().filter_map(|attempt| pool.connection_of(*attempt)).collect();
     assert_eq!(
         (ended.lost, own.len()),
         (vec![], 3),
-        "few share a connection, as a spoilt answer ends them all"
+        "few attempts share a connection, as a malformed answer ends them all"
     );
     assert_eq!(ended.moved, carriers);
 }
 
 #[test]
-fn an_answer_that_stops_short_ends_its_connection_and_a_spoilt_one_is_no_answer() {
+fn stalled_and_malformed_answers_end_their_connection() {
     let written = |pool: &mut ConnectionPool, attempt: u64, id: &str| {
         let (key, _) = pool.send(0.0, attempt, &CacheId::from("m"), &call(id)).expect("room");
         complete_dial(pool, 0.0, key);
@@ -765,27 +778,28 @@
     let mut pool = connection_pool();
     let key = written(&mut pool, 1, "a");
     let whole = reply("a", "DONE");
-    // Without a bound, all that is asked on it waits until its time is up.
+    // Without the bound, all attempts on the connection would wait until their timeout.
     pool.receive(100.0, key, &whole[..20]);
     assert_eq!(pool.expired(350.0), vec![]);
     assert_eq!(pool.expired(450.0), [(key, EndpointClose::Stalled)]);
     assert_eq!(
         pool.connection_closed(450.0, key, None).lost,
         [(1, Progress::WrittenWhole)],
-        "it may have run"
+        "the attempt may have run"
     );
-    // One that comes byte by byte never stops, and isn't whole for just as long; several in turn are.
-    let (drips, turns) = (written(&mut pool, 2, "a"), written(&mut pool, 3, "b"));
+    // An answer that arrives byte by byte never pauses, but must be complete within a limit; consecutive
+    // complete answers may go on for longer.
+    let (dripping, consecutive) = (written(&mut pool, 2, "a"), written(&mut pool, 3, "b"));
     for (at, byte) in whole.iter().enumerate().take(20) {
         let now = 100.0 * at as Millis;
-        pool.receive(now, drips, &[*byte]);
-        pool.receive(now, turns, &[&whole[if at == 0 { 0 } else { 5 }..], &whole[..5]].concat());
-        let over = if now < 1000.0 { vec![] } else { vec![(drips, EndpointClose::Stalled)] };
+        pool.receive(now, dripping, &[*byte]);
+        pool.receive(now, consecutive, &[&whole[if at == 0 { 0 } else { 5 }..], &whole[..5]].concat());
+        let over = if now < 1000.0 { vec![] } else { vec![(dripping, EndpointClose::Stalled)] };
         assert_eq!(pool.expired(now), over, "at {now}");
     }
-    pool.connection_closed(2000.0, drips, None);
-    pool.connection_closed(2000.0, turns, None);
-    for (at, spoilt) in [
+    pool.connection_closed(2000.0, dripping, None);
+    pool.connection_closed(2000.0, consecutive, None);
+    for (at, malformed) in [
         resp::frame(&[b"a", b"HUH", b"-", b""]),
         resp::frame(&[b"a", b"DONE", b"-"]),
         resp::frame(&[b"a", b"DONE", b"\xff\xfe", b""]),
@@ -796,21 +810,21 @@
     .enumerate()
     {
         let key = written(&mut pool, 10 + at as u64, "a");
-        let (heard, fault) = pool.receive(0.0, key, &spoilt);
-        assert!(heard.is_empty() && fault.is_some(), "{heard:?}");
+        let (received, fault) = pool.receive(0.0, key, &malformed);
+        assert!(received.is_empty() && fault.is_some(), "{received:?}");
         pool.connection_closed(0.0, key, None);
     }
 }
 
 #[test]
-fn what_must_not_be_repeated_shares_no_connection_and_moves_are_bounded() {
+fn unrepeatable_attempts_share_no_connection_and_moves_are_bounded() {
     let (mut pool, machine) = (connection_pool(), CacheId::from("m"));
     let alone = |id: &str| Call { alone: true, ..call(id) };
     let keys = [alone("a"), call("b"), call("c"), alone("d")];
     let keys = keys.iter().zip(1..).map(|(call, at)| pool.send(0.0, at, &machine, call));
     let keys: Vec<u64> = keys.map(|sent| sent.expect("room").0).collect();
     assert!(keys[1] == keys[2] && keys[0] != keys[1] && keys[3] != keys[1] && keys[0] != keys[3], "{keys:?}");
-    // A machine that takes each connection and closes it must not keep the router busy with dialling.
+    // A machine that accepts connections and closes them must not keep the router dialing.
     let mut key = keys[0];
     let moves = (0..20).take_while(|_| {
         complete_dial(&mut pool, 0.0, key);
@@ -822,11 +836,12 @@
 }
 
 #[test]
-fn near_the_bound_on_connections_new_machines_still_find_one() {
+fn new_machines_get_connections_near_the_limit() {
     let mut pool = ConnectionPool::new(400.0, 30_000.0, 100, 16);
     let machines: Vec<CacheId> = (0..20).map(|at| CacheId::from(format!("m{at}").as_str())).collect();
     machines.iter().for_each(|machine| list_machine(&mut pool, machine, 1));
-    // Two busy machines take what they may; a quarter stays for first connections to others.
+    // Two busy machines use what they may; a quarter of the connections is left for the first ones to other
+    // machines.
     for attempt in 0..40 {
         let machine = &machines[attempt as usize % 2];
         pool.send(0.0, attempt, machine, &call(&format!("id-{attempt}"))).expect("room");
@@ -837,27 +852,31 @@
         complete_dial(&mut pool, 0.0, key);
         assert!(new);
     }
-    assert_eq!(pool.send(0.0, 200, &machines[6], &call("a")), Err(SendError::NoRoom), "all are in use");
-    // One that rests makes room: it is closed next, though its idle time isn't over.
-    let rests = pool.stop(5.0, 102).expect("it was out");
+    assert_eq!(
+        pool.send(0.0, 200, &machines[6], &call("a")),
+        Err(SendError::NoRoom),
+        "all connections are in use"
+    );
+    // An idle connection makes room: it is closed next, before its idle timeout.
+    let idle = pool.stop(5.0, 102).expect("the attempt is outstanding");
     assert!(pool.send(6.0, 201, &machines[6], &call("a")).is_ok_and(|(_, new)| new));
-    assert_eq!(pool.expired(6.0), [(rests, EndpointClose::Idle)]);
+    assert_eq!(pool.expired(6.0), [(idle, EndpointClose::Idle)]);
 }
 
 #[test]
-fn connections_end_when_idle_retired_or_not_up_in_time() {
+fn connections_end_when_idle_retired_or_not_connected_in_time() {
     let (mut pool, machine) = (connection_pool(), CacheId::from("m"));
     let (key, _) = pool.send(0.0, 1, &machine, &call("a")).expect("room");
     assert_eq!((pool.expired(399.0), pool.expired(400.0)), (vec![], vec![(key, EndpointClose::NotUp)]));
     complete_dial(&mut pool, 10.0, key);
-    assert!(pool.expired(60_000.0).is_empty(), "it carries something");
+    assert!(pool.expired(60_000.0).is_empty(), "an attempt is outstanding");
     pool.stop(50.0, 1);
     assert_eq!(
         (pool.expired(23_000.0), pool.expired(25_000.0)),
         (vec![], vec![(key, EndpointClose::Idle)]),
-        "before the machine's time"
+        "before the machine closes it"
     );
-    // Addresses are used again: another name, or another address, never shares a connection.
+    // Addresses are reused: a machine with another name or another address never shares a connection.
     let other = CacheId::from("n");
     list_machine(&mut pool, &other, 1);
     assert!(pool.send(60.0, 2, &other, &call("a")).is_ok_and(|(_, new)| new));
@@ -869,10 +888,11 @@
 }
 
 #[test]
-fn a_connection_is_closed_once_its_client_has_read_what_the_system_holds_for_it() {
-    /// Answers one more request with so many bytes; all of them are written, at once or after the system was full.
+fn a_connection_may_close_once_its_client_has_read_what_the_kernel_holds() {
+    /// Answers one more request with 200,000 bytes and writes all of them, at once or after the socket was
+    /// full.
     fn serve(conn: &mut Conn, serial: u64, at: Millis, full_ms: Millis) {
-        whole(conn.receive(at, &asking(1, "/ops/page", ID, b""))).expect("well-formed");
+        events(conn.receive(at, &request_bytes(1, "/ops/page", ID, b""))).expect("well-formed");
         assert!(conn.answer(serial, &Reply::Served(vec![7; 200_000])));
         if full_ms > 0.0 {
             conn.wrote(at, 10);
@@ -892,13 +912,13 @@
     (2..6).for_each(|serial| serve(&mut conn, serial, 2000.0, 0.0));
     assert!(
         !conn.can_close_cleanly(2290.0) && conn.can_close_cleanly(2310.0),
-        "one that keeps up is not waited for any longer"
+        "a client that keeps up is not waited for any longer"
     );
     serve(&mut conn, 6, 3000.0, 90.0);
-    assert!(conn.can_close_cleanly(3400.0), "full for a moment says nothing");
+    assert!(conn.can_close_cleanly(3400.0), "a short block does not count");
     serve(&mut conn, 7, 4000.0, 110.0);
     assert!(
         !conn.can_close_cleanly(8100.0) && conn.can_close_cleanly(8120.0),
-        "it is behind by all that the buffers take"
+        "the client may be behind by the full socket buffers"
     );
 }
