--- a/src/addresses/mod.rs
+++ b/src/addresses/mod.rs
@@ -1,12 +1,13 @@
-//! Several addresses for one machine: which there are, whose each is, in what order they are dialled, and what a
-//! connection that fails says about them.
+//! Several addresses per machine: which endpoints exist, which machine each belongs to, in what order they
+//! are dialed, and what a failed connection says about them.
 //!
-//! Owns the [`AddressTable`] of endpoints with what is known of each path, and the [`DialRace`] of dials for one connection.
-//! It never opens a socket, never sends anything and never reads a clock: time comes in as an argument, what is
-//! to be dialled or closed goes out as a value. Which machine is asked, and whether again, stays with the
-//! decision module; here only the way to that machine is chosen, before a byte has left.
+//! Contains the [`AddressTable`] of endpoints and their state, and the [`DialRace`] for one connection. The
+//! module opens no sockets, sends nothing and reads no clock: time comes in as an argument, and dials to
+//! start or close are returned as values. The decision module chooses which machine is asked, and whether
+//! again; this module only chooses the address, before a byte is sent.
 //!
-//! Without [`AddressSettings`] each machine has the one address of the notice board, and one dial a connection.
+//! Without [`AddressSettings`], each machine has the one address that the discovery service announces, and
+//! one dial per connection.
 
 mod race;
 mod table;
@@ -21,13 +22,13 @@
 use std::path::Path;
 use std::sync::Arc;
 
-/// Endpoints that one machine may have, the notice board's among them.
+/// Most endpoints per machine, including the announced one.
 pub const MAX_ENDPOINTS: usize = 8;
-/// Dials that may be open for one machine (RFC 8305, section 8, leaves the number to the implementation): a cold
-/// machine pays for each handshake.
+/// Most open dials per machine (RFC 8305, section 8, leaves the number to the implementation): each handshake
+/// costs a cold machine work.
 pub const MAX_DIALS: usize = 2;
 
-/// A family of addresses.
+/// An address family.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Family {
     /// A Unix stream socket on this host.
@@ -38,7 +39,7 @@
     Ipv4,
 }
 
-/// Where a machine may be reached.
+/// An address of a machine.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Endpoint {
     /// The path of a Unix stream socket.
@@ -48,7 +49,7 @@
 }
 
 impl Endpoint {
-    /// Its family.
+    /// Returns the address family.
     pub fn family(&self) -> Family {
         match self {
             Self::Unix(_) => Family::Unix,
@@ -73,28 +74,28 @@
     }
 }
 
-/// What the operator's file says of addresses.
+/// The address settings of the operator's file.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AddressSettings {
-    /// Families in the order in which they are tried. One that isn't named is not used.
+    /// Address families in order of preference. Families that are absent are not used.
     pub family_order: Vec<Family>,
-    /// Least and most time between two dials of one race (RFC 8305, section 5: 10 ms to 2 s).
+    /// Shortest and longest delay between two dials of a race (RFC 8305, section 5: 10 ms to 2 s).
     pub attempt_delay_ms: (Millis, Millis),
-    /// First and longest pause of a path that has failed.
+    /// First and longest pause of an endpoint that has failed.
     pub pause_ms: (Millis, Millis),
-    /// Dials open for one machine, [`MAX_DIALS`] at most.
+    /// Most open dials per machine, up to [`MAX_DIALS`].
     pub max_dials_per_machine: usize,
-    /// Dials open in all.
+    /// Most open dials in total.
     pub max_dials: usize,
-    /// A machine says its name in answer to `HELO`, and a connection that doesn't say the right one is left.
+    /// Machines state their name in answer to `HELO`, and connections with a wrong name are closed.
     pub verify_names: bool,
-    /// Further endpoints by machine, beside the notice board's.
+    /// Endpoints per machine, in addition to the announced ones.
     pub machines: BTreeMap<String, Vec<Endpoint>>,
 }
 
 impl Default for AddressSettings {
-    /// Unix before IPv6 before IPv4: RFC 6724, section 6, rules 8 (smaller scope) and, of its default policy
-    /// table, IPv6's precedence over IPv4's.
+    /// Unix before IPv6 before IPv4: RFC 6724, section 6, rule 8 (smaller scope), and the precedence of IPv6
+    /// over IPv4 in its default policy table.
     fn default() -> Self {
         Self {
             family_order: vec![Family::Unix, Family::Ipv6, Family::Ipv4],
--- a/src/addresses/race.rs
+++ b/src/addresses/race.rs
@@ -1,41 +1,42 @@
-//! The race of dials for one connection (RFC 8305, section 5): staggered starts, the next at once on a refusal,
-//! the first one up wins, the others are closed before anything is written on them.
+//! The race of dials for one connection (RFC 8305, section 5): dials start in intervals, the next one starts
+//! at once after a failure, the first to connect wins, and the others are closed before anything is written
+//! on them.
 
 use super::Endpoint;
 use crate::api::Millis;
 use std::collections::VecDeque;
 
-/// A dial's number, never used again.
+/// Number of a dial; never reused.
 pub type DialKey = u64;
 
-/// A dial that is open.
+/// An open dial.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Dial {
     /// Its number.
     pub key: DialKey,
-    /// Where to.
+    /// The endpoint dialed.
     pub endpoint: Endpoint,
-    /// Since when.
+    /// When it started.
     pub since: Millis,
 }
 
-/// What is to be done.
+/// A step for the caller to perform.
 #[derive(Clone, Debug, PartialEq)]
 pub enum DialStep {
-    /// Dial there under this number.
+    /// Start a dial with this number.
     Start(DialKey, Endpoint),
-    /// Close a dial to make room for the next: it has had its time.
+    /// Close a dial that had its time, to make room for the next one.
     Drop(DialKey, Endpoint),
 }
 
-/// A race that is won.
+/// The result of a race that was won.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RaceWin {
-    /// The way it goes.
+    /// The connected endpoint.
     pub endpoint: Endpoint,
-    /// Time to connect.
+    /// Time to connect, in milliseconds.
     pub took_ms: Millis,
-    /// Dials to be closed; true for those that began before the winner, and were overtaken.
+    /// The dials to close; true for those that started before the winner and were overtaken.
     pub losers: Vec<(DialKey, Endpoint, bool)>,
 }
 
@@ -44,25 +45,27 @@
 pub struct DialRace {
     pending: VecDeque<Endpoint>,
     open: Vec<Dial>,
-    /// Nothing is dialled beside an open dial before then.
+    /// Earliest time for a dial in addition to an open one.
     next_dial_at: Millis,
     delay_ms: Millis,
-    /// The one whole bound.
+    /// End of the race, whatever is dialed.
     deadline: Millis,
-    /// It waits for a free place.
+    /// Whether the race waits because the limit on open dials is reached.
     waiting_for_slot: bool,
-    /// Nothing is dialled before then: the latest dial could not even be begun.
+    /// Earliest time for any dial after one that could not be started.
     not_before: Millis,
-    /// Dials in a row that could not be begun, and whether this machine lacked something for the latest.
+    /// Number of consecutive dials that could not be started, and whether the router lacked a resource for
+    /// the latest.
     postponements: u32,
     lacks_resources: bool,
 }
 
-/// First and longest pause after a dial that could not be begun.
+/// First and longest pause after a dial that could not be started.
 const POSTPONE_MS: [Millis; 2] = [10.0, 40.0];
 
 impl DialRace {
-    /// A race over `candidates` in their order, `delay` apart, over at `until`.
+    /// Creates a race over `candidates` in their order, with `delay_ms` between dials, that ends at
+    /// `deadline`.
     pub fn new(now: Millis, candidates: Vec<Endpoint>, delay_ms: Millis, deadline: Millis) -> Self {
         let pending = candidates.into();
         Self {
@@ -78,8 +81,8 @@
         }
     }
 
-    /// Starts what is due. `free` is how many more dials may be open now; where none may and this race has one
-    /// that has had its time, that one makes room.
+    /// Starts the dials that are due. `free` is the number of further dials that may be open; if it is 0, an
+    /// open dial of this race that had its time is closed to make room.
     pub fn poll(&mut self, now: Millis, mut free: usize, next: &mut DialKey) -> Vec<DialStep> {
         let mut steps = Vec::new();
         self.waiting_for_slot = false;
@@ -110,14 +113,16 @@
         steps
     }
 
-    /// A dial has failed: the next starts at once. Where it led to; `None`: it isn't of this race.
+    /// Removes a failed dial; the next one starts at once. Returns its endpoint, or `None` if the dial is not
+    /// of this race.
     pub fn dial_failed(&mut self, now: Millis, key: DialKey) -> Option<Endpoint> {
         let at = self.open.iter().position(|dial| dial.key == key)?;
         self.next_dial_at = now;
         Some(self.open.remove(at).endpoint)
     }
 
-    /// A dial could not be begun: it is tried again after a short pause. `no_room`: as this machine lacked something.
+    /// Retries a dial that could not be started after a short pause. `lacks_resources` says that the router
+    /// lacked a resource for it.
     pub fn postpone_dial(&mut self, now: Millis, key: DialKey, lacks_resources: bool) {
         let Some(at) = self.open.iter().position(|dial| dial.key == key) else { return };
         self.pending.push_front(self.open.remove(at).endpoint);
@@ -127,17 +132,18 @@
         self.lacks_resources = lacks_resources;
     }
 
-    /// Whether there is another way to be tried, or under way.
+    /// Whether another endpoint is being dialed or waiting.
     pub fn has_others(&self) -> bool {
         self.open.len() + self.pending.len() > 1
     }
 
-    /// Whether no dial is under way since this machine lacks something.
+    /// Whether no dial is open because the router lacks a resource.
     pub fn lacks_resources(&self) -> bool {
         self.lacks_resources && self.open.is_empty()
     }
 
-    /// A dial is up: the race is over.
+    /// Ends the race with the dial that connected. Returns the race unchanged if the dial is not of this
+    /// race.
     pub fn win(self, now: Millis, key: DialKey) -> Result<RaceWin, Self> {
         let Some(winner) = self.open.iter().find(|dial| dial.key == key).cloned() else { return Err(self) };
         let losers = self.open.into_iter().filter(|dial| dial.key != key);
@@ -145,7 +151,8 @@
         Ok(RaceWin { endpoint: winner.endpoint, took_ms: now - winner.since, losers })
     }
 
-    /// The ways have changed: dials to others are to be closed, and new ways wait behind.
+    /// Takes over a changed list of endpoints. Returns the dials to close. If that leaves nothing to dial,
+    /// the race continues with the new list.
     pub fn restrict(&mut self, candidates: &[Endpoint]) -> Vec<DialKey> {
         let (kept, closed): (Vec<Dial>, Vec<Dial>) =
             std::mem::take(&mut self.open).into_iter().partition(|dial| candidates.contains(&dial.endpoint));
@@ -157,20 +164,20 @@
         closed.into_iter().map(|dial| dial.key).collect()
     }
 
-    /// Dials that are open.
+    /// Returns the open dials.
     pub fn open_dials(&self) -> &[Dial] {
         &self.open
     }
 
-    /// Whether there is nothing more to wait for.
+    /// Whether the race has ended without a connection.
     pub fn is_over(&self, now: Millis) -> bool {
         now >= self.deadline || (self.open.is_empty() && self.pending.is_empty())
     }
 
-    /// When to look next.
+    /// Returns when the race must be polled next.
     pub fn deadline(&self) -> Millis {
         if self.open.is_empty() && self.pending.is_empty() {
-            0.0 // It is over.
+            0.0 // The race is over.
         } else if self.pending.is_empty() || self.waiting_for_slot {
             self.deadline
         } else {
--- a/src/addresses/table.rs
+++ b/src/addresses/table.rs
@@ -1,4 +1,5 @@
-//! The address book: each machine's endpoints, whose each is, and what is known of each path.
+//! The table of the machines' addresses: each machine's endpoints, which machine owns an endpoint, and the
+//! state of each.
 
 use super::{AddressSettings, Endpoint, MAX_ENDPOINTS};
 use crate::api::{CacheId, Millis, Phase};
@@ -9,32 +10,32 @@
 
 /// Weight of the newest connect time in the decaying mean.
 const NEWEST_CONNECT_WEIGHT: f64 = 0.25;
-/// The delay before the next dial is this many mean connect times.
+/// The delay before the next dial of a race is this many mean connect times.
 const DELAY_IN_CONNECTS: f64 = 4.0;
-/// A pause is longer or shorter than its nominal length by up to this share, so that paths that fell together
-/// aren't tried again together, by all routers at once.
+/// Random share by which a pause is longer or shorter than nominal. Without it, all routers would retry
+/// endpoints that failed together at the same time.
 const PAUSE_JITTER: f64 = 0.25;
-/// A path that was proved so lately may be dialled for two connections at once.
+/// An endpoint that answered within this time may be dialed for two connections at once.
 const RECENT_ANSWER_MS: Millis = 10_000.0;
-/// How soon a path is looked at again that was due for a trial and couldn't have it.
+/// How soon an endpoint is considered again if its trial could not start when it was due.
 const TRIAL_RECHECK_MS: Millis = 50.0;
 
-/// How a path failed.
+/// How an endpoint failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointFailure {
-    /// Nobody listens there, or the path doesn't exist or may not be used.
+    /// Nothing listens there, or the address doesn't exist or may not be used.
     Refused,
-    /// It was not up when the whole bound was over.
+    /// The dial was not connected at the race's deadline.
     NotUp,
-    /// Another path, dialled later, was up first; or this one had to make room.
+    /// Another endpoint, dialed later, connected first, or this dial was closed to make room.
     Overtaken,
-    /// It was up, something was asked, and nothing came.
+    /// The connection was up, a request was sent, and nothing was received.
     Unresponsive,
-    /// It broke, or stopped short, under what was on it.
+    /// The connection broke, or an answer stopped short.
     Broken,
-    /// Somebody else answers there.
+    /// Another machine answers there.
     WrongName,
-    /// No route leads there.
+    /// There is no route to the endpoint.
     Unreachable,
 }
 
@@ -42,44 +43,44 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             Self::Refused => "refused",
-            Self::NotUp => "not up in time",
-            Self::Overtaken => "another path was up first",
-            Self::Unresponsive => "up and mute",
+            Self::NotUp => "not connected in time",
+            Self::Overtaken => "another endpoint connected first",
+            Self::Unresponsive => "connected but unresponsive",
             Self::Broken => "broken",
-            Self::WrongName => "somebody else answers there",
-            Self::Unreachable => "no route leads there",
+            Self::WrongName => "another machine answers there",
+            Self::Unreachable => "no route to the endpoint",
         })
     }
 }
 
-/// What the notice board says of a machine.
+/// What the discovery service announces about a machine.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Listing {
-    /// Its state.
+    /// The machine's state.
     pub phase: Phase,
-    /// Where it listens; `None`: nowhere any more.
+    /// The listening address; `None` once the machine is gone.
     pub address: Option<SocketAddr>,
-    /// Until when it is cold, on the monotonic clock.
+    /// End of the machine's cold start, on the monotonic clock.
     pub cold_until: Option<Millis>,
 }
 
-/// One way to a machine.
+/// State of one endpoint of a machine.
 #[derive(Clone, Debug)]
 struct EndpointState {
     endpoint: Endpoint,
-    /// The number of the claim by which its machine holds it: the higher, the newer.
+    /// Number of the claim by which the machine holds this endpoint; newer claims have higher numbers.
     claim: u64,
-    /// When something was last answered over it.
+    /// When a request was last answered over it.
     answered_at: Option<Millis>,
     /// Failures since then.
     failures: u32,
     /// Decaying mean of the time to connect.
     connect_ms: Option<Millis>,
-    /// It is left alone until then.
+    /// End of the pause after a failure.
     paused_until: Millis,
-    /// Somebody else answered there: until the pause is over it is no way at all.
+    /// Another machine answered there: the endpoint is not used at all until the pause ends.
     wrong_name: bool,
-    /// An attempt at it by itself is under way.
+    /// Whether a trial of this endpoint is running.
     trial_running: bool,
 }
 
@@ -108,8 +109,8 @@
     endpoints: Vec<EndpointState>,
 }
 
-/// Each machine's endpoints. As many machines as are listed, [`MAX_ENDPOINTS`] to each; all that is known of a
-/// machine is forgotten with it.
+/// The endpoints of all listed machines, up to [`MAX_ENDPOINTS`] each. Removing a machine removes all that is
+/// known of it.
 #[derive(Debug)]
 pub struct AddressTable {
     settings: Option<AddressSettings>,
@@ -118,12 +119,12 @@
     claimants: HashMap<Endpoint, BTreeSet<CacheId>>,
     last_claim: u64,
     failure_count: u64,
-    /// No trial is due before then.
+    /// No trial is due before this time.
     next_trial_check: Millis,
 }
 
 impl AddressTable {
-    /// An empty one; `seed` draws the jitter.
+    /// Creates an empty table; `seed` determines the jitter of pauses.
     pub fn new(settings: Option<AddressSettings>, seed: u64) -> Self {
         let (machines, claimants) = (BTreeMap::new(), HashMap::new());
         Self {
@@ -137,30 +138,30 @@
         }
     }
 
-    /// Whether machines may have more than the notice board's address.
+    /// Returns the address settings; `None` if machines have only their announced address.
     pub fn settings(&self) -> Option<&AddressSettings> {
         self.settings.as_ref()
     }
 
-    /// Takes over other rules: endpoints come and go, what is known of those that stay is kept.
+    /// Takes over new settings. Endpoints are added and removed; the state of the others is kept.
     pub fn set_settings(&mut self, settings: Option<AddressSettings>) {
         self.settings = settings;
         let all: Vec<CacheId> = self.machines.keys().cloned().collect();
         all.iter().for_each(|machine_id| self.rebuild_endpoints(machine_id, false));
     }
 
-    /// The notice board has spoken of a machine.
+    /// Takes over what the discovery service announced about a machine.
     pub fn update_listing(&mut self, machine_id: &CacheId, listing: Listing) {
         let known = self.machines.get(machine_id);
         let began =
             known.is_some_and(|m| m.listing.phase != Phase::Serving) && listing.phase == Phase::Serving;
         let states = known.map_or(Vec::new(), |machine| machine.endpoints.clone());
-        // One that is gone says no address; a leaving one may go on under its last.
+        // A deleted machine has no address; a draining one may still be announced with its last.
         self.machines.insert(machine_id.clone(), Machine { listing, endpoints: states });
         self.rebuild_endpoints(machine_id, began);
     }
 
-    /// A machine is forgotten, with all its paths.
+    /// Removes a machine with all its endpoints.
     pub fn forget_machine(&mut self, machine_id: &CacheId) {
         if let Some(machine) = self.machines.remove(machine_id) {
             machine.endpoints.iter().for_each(|state| self.remove_claim(&state.endpoint, machine_id));
@@ -176,7 +177,7 @@
         }
     }
 
-    /// Rebuilds a machine's paths. `anew`: it claims them all anew.
+    /// Rebuilds a machine's endpoints. With `anew`, the machine claims all of them anew.
     fn rebuild_endpoints(&mut self, machine_id: &CacheId, anew: bool) {
         let Some(mut machine) = self.machines.remove(machine_id) else { return };
         self.next_trial_check = 0.0;
@@ -217,10 +218,11 @@
         self.machines.insert(machine_id.clone(), machine);
     }
 
-    /// Whose an endpoint is: while a claimant drains, nobody's; else the newest active claim's.
+    /// Returns the owner of an endpoint: none while any machine that claims it drains, otherwise the machine
+    /// with the newest claim.
     ///
-    /// A claim is settled when the board says that the draining machine has left, or lists it elsewhere: until
-    /// then what answers there may still be the draining one.
+    /// While a claimant drains, whatever answers at the endpoint may still be that machine. The discovery
+    /// service settles the matter by announcing that the machine has left, or that it has another address.
     pub fn owner(&self, endpoint: &Endpoint) -> Option<&CacheId> {
         let claimants = self.claimants.get(endpoint)?;
         let claims = claimants.iter().filter_map(|machine_id| {
@@ -237,14 +239,14 @@
 
     fn may_use(&self, now: Millis, machine_id: &CacheId, state: &EndpointState) -> bool {
         if self.settings.is_none() {
-            return true; // The board alone says who listens where, as before there was a book.
+            return true; // Without settings, the announced address is used as it is.
         }
         !(state.wrong_name && now < state.paused_until) && self.owner(&state.endpoint) == Some(machine_id)
     }
 
-    /// Where a new connection may be dialled, best first: paths that work, in the stated order. Where none
-    /// does, those that failed, the one whose pause ends first before the others, so that a machine whose only
-    /// way is back is found.
+    /// Returns the endpoints to dial for a new connection, best first: those that work, in the configured
+    /// order. If none works, returns the failed ones, the one whose pause ends first before the others, so
+    /// that a machine with a single working endpoint is found again.
     pub fn candidates(&self, now: Millis, machine_id: &CacheId) -> Vec<Endpoint> {
         let Some(machine) = self.machines.get(machine_id) else { return Vec::new() };
         if machine.listing.phase != Phase::Serving {
@@ -261,10 +263,10 @@
         rest.into_iter().map(|state| state.endpoint.clone()).collect()
     }
 
-    /// Whether a connection that is up may be given something new.
+    /// Whether a connection over this endpoint may be given a new request.
     pub fn accepts_requests(&self, now: Millis, machine_id: &CacheId, endpoint: &Endpoint) -> bool {
         if self.settings.is_none() {
-            return true; // One over an address that is gone has been retired.
+            return true; // Connections over removed addresses are retired.
         }
         let Some(machine) = self.machines.get(machine_id) else { return false };
         let Some(state) = machine.endpoints.iter().find(|state| state.endpoint == *endpoint) else {
@@ -274,14 +276,14 @@
         self.may_use(now, machine_id, state) && (state.is_working() || !other())
     }
 
-    /// Whether a serving machine may be dialled there, whatever is known of the path.
+    /// Whether the machine is serving and owns the endpoint, whatever state the endpoint is in.
     pub fn may_dial(&self, now: Millis, machine_id: &CacheId, endpoint: &Endpoint) -> bool {
         let machine = self.machines.get(machine_id).filter(|m| m.listing.phase == Phase::Serving);
         let state = machine.and_then(|m| m.endpoints.iter().find(|state| state.endpoint == *endpoint));
         state.is_some_and(|state| self.may_use(now, machine_id, state))
     }
 
-    /// An endpoint's place in the stated order.
+    /// Returns the position of an endpoint in the configured order.
     pub fn preference(&self, machine_id: &CacheId, endpoint: &Endpoint) -> usize {
         if self.settings.is_none() {
             return 0;
@@ -296,13 +298,13 @@
         machine.is_some_and(|machine| machine.endpoints.iter().any(|state| state.endpoint == *endpoint))
     }
 
-    /// Whether a machine is cold: each handshake is work for it.
+    /// Whether a machine is in its cold start, when each handshake costs it work.
     pub fn is_cold(&self, now: Millis, machine_id: &CacheId) -> bool {
         let machine = self.machines.get(machine_id);
         machine.and_then(|machine| machine.listing.cold_until).is_some_and(|until| now < until)
     }
 
-    /// Dials that may be open for a machine: one while it is cold.
+    /// Returns how many dials may be open for a machine: one while it is cold.
     pub fn max_dials(&self, now: Millis, machine_id: &CacheId) -> usize {
         match &self.settings {
             None => usize::MAX,
@@ -311,7 +313,8 @@
         }
     }
 
-    /// Connections to a machine that may be dialled at once: two only where the best path was proved lately.
+    /// Returns how many connections to a machine may be dialed at once: more than one only if the best
+    /// endpoint answered recently.
     pub fn max_races(&self, now: Millis, machine_id: &CacheId) -> usize {
         if self.settings.is_none() {
             return usize::MAX;
@@ -328,7 +331,7 @@
         }
     }
 
-    /// How long a dial goes on alone before the next path is tried beside it.
+    /// Returns how long a dial runs alone before the next endpoint is dialed as well.
     pub fn attempt_delay_ms(&self, machine_id: &CacheId, first: Option<&Endpoint>) -> Millis {
         let Some(settings) = &self.settings else { return Millis::INFINITY };
         let machine = self.machines.get(machine_id);
@@ -343,7 +346,7 @@
         self.machines.get_mut(machine_id)?.endpoints.iter_mut().find(|state| state.endpoint == *endpoint)
     }
 
-    /// A connection is up. That proves little: only an answer shows that the path works.
+    /// Records a connection. A connection proves little: only an answer shows that the endpoint works.
     pub fn record_connected(&mut self, machine_id: &CacheId, endpoint: &Endpoint, took_ms: Millis) {
         if let Some(state) = self.endpoint_mut(machine_id, endpoint) {
             state.connect_ms =
@@ -351,7 +354,8 @@
         }
     }
 
-    /// A request was answered over it: it works. A greeting that is answered shows less: who is there.
+    /// Records an answered request, which shows that the endpoint works. The answer to a greeting does not
+    /// count: it shows only which machine is there.
     pub fn record_answer(&mut self, now: Millis, machine_id: &CacheId, endpoint: &Endpoint) {
         if let Some(state) = self.endpoint_mut(machine_id, endpoint) {
             (state.answered_at, state.failures, state.paused_until) = (Some(now), 0, 0.0);
@@ -359,8 +363,9 @@
         }
     }
 
-    /// It failed: it is left alone for a while, twice as long with each failure in a row. Connections that fall
-    /// together count once. When it is to be tried again; `None`: this was known, or there is no such path.
+    /// Records a failure and pauses the endpoint, twice as long with each failure in a row. Connections that
+    /// fail together count once. Returns the end of the pause, or `None` if the endpoint is paused already or
+    /// unknown.
     pub fn record_failure(
         &mut self,
         now: Millis,
@@ -386,8 +391,9 @@
         Some(now + pause)
     }
 
-    /// Paths whose pause is over, to be tried by one connection that carries nothing for a client: one at a time
-    /// for a machine, and none while it is cold. Where no path works, requests themselves find the way back.
+    /// Starts the trials that are due: each tests an endpoint after its pause by one connection that carries
+    /// no request at first. One trial per machine runs at a time, and none while the machine is cold. If no
+    /// endpoint of a machine works, requests find the working one again by themselves.
     pub fn start_trials(&mut self, now: Millis) -> Vec<(CacheId, Endpoint)> {
         if self.settings.is_none() || now < self.next_trial_check {
             return Vec::new();
@@ -397,7 +403,7 @@
             .filter(|(.., at)| *at <= now)
             .map(|(m, e, _)| (m.clone(), e.clone()))
             .collect();
-        // What can't be tried now, since another path of its machine is, is looked at again shortly.
+        // A trial that can't start because another one of the machine is running is considered again shortly.
         let next = |at: Millis| if at > now { at } else { now + TRIAL_RECHECK_MS };
         self.next_trial_check = trial_candidates().map(|(.., at)| next(at)).fold(f64::INFINITY, f64::min);
         let mut trials = Vec::new();
@@ -417,7 +423,7 @@
         trials
     }
 
-    /// A trial could not be begun, or ended without a word about its path.
+    /// Ends a trial that could not start, or that ended without showing anything about its endpoint.
     pub fn end_trial(&mut self, now: Millis, machine_id: &CacheId, endpoint: &Endpoint) {
         if let Some(state) = self.endpoint_mut(machine_id, endpoint) {
             state.trial_running = false;
@@ -425,7 +431,7 @@
         }
     }
 
-    /// Paths that failed and could be tried by themselves, and from when.
+    /// Returns the failed endpoints that may be tested by a trial, and from when.
     fn trial_candidates(&self) -> impl Iterator<Item = (&CacheId, &Endpoint, Millis)> {
         let serving = self.machines.iter().filter(|(_, m)| m.listing.phase == Phase::Serving);
         let useful = serving
@@ -438,13 +444,13 @@
         })
     }
 
-    /// When to ask for trials next.
+    /// Returns when trials must be checked next.
     pub fn next_deadline(&self) -> Option<Millis> {
         self.settings.as_ref()?;
         Some(self.next_trial_check).filter(|at| at.is_finite())
     }
 
-    /// Machines there are, and paths of theirs that failed lately.
+    /// Returns the number of machines, and the number of endpoints that are failed at present.
     pub fn counts(&self) -> (usize, usize) {
         let failed =
             self.machines.values().flat_map(|m| &m.endpoints).filter(|state| !state.is_working()).count();
