--- a/src/addresses/table.rs
+++ b/src/addresses/table.rs
@@ -70,7 +70,7 @@
     endpoint: Endpoint,
     /// Number of the claim by which the machine holds this endpoint; newer claims have higher numbers.
     claim: u64,
-    /// When a request was last answered over it.
+    /// When a request or probe was last answered over it.
     answered_at: Option<Millis>,
     /// Failures since then.
     failures: u32,
@@ -153,12 +153,12 @@
     /// Takes over what the discovery service announced about a machine.
     pub fn update_listing(&mut self, machine_id: &CacheId, listing: Listing) {
         let known = self.machines.get(machine_id);
-        let began =
+        let resumed =
             known.is_some_and(|m| m.listing.phase != Phase::Serving) && listing.phase == Phase::Serving;
         let states = known.map_or(Vec::new(), |machine| machine.endpoints.clone());
         // A deleted machine has no address; a draining one may still be announced with its last.
         self.machines.insert(machine_id.clone(), Machine { listing, endpoints: states });
-        self.rebuild_endpoints(machine_id, began);
+        self.rebuild_endpoints(machine_id, resumed);
     }
 
     /// Removes a machine with all its endpoints.
@@ -177,8 +177,8 @@
         }
     }
 
-    /// Rebuilds a machine's endpoints. With `anew`, the machine claims all of them anew.
-    fn rebuild_endpoints(&mut self, machine_id: &CacheId, anew: bool) {
+    /// Rebuilds a machine's endpoints. With `renew_claims`, the machine claims all of them anew.
+    fn rebuild_endpoints(&mut self, machine_id: &CacheId, renew_claims: bool) {
         let Some(mut machine) = self.machines.remove(machine_id) else { return };
         self.next_trial_check = 0.0;
         let mut endpoints: Vec<Endpoint> = Vec::new();
@@ -207,7 +207,7 @@
                 Some(at) => machine.endpoints.swap_remove(at),
                 None => EndpointState::new(endpoint, 0),
             };
-            if state.claim == 0 || anew {
+            if state.claim == 0 || renew_claims {
                 self.last_claim += 1;
                 state.claim = self.last_claim;
             }
@@ -253,14 +253,14 @@
             return Vec::new();
         }
         let allowed = || machine.endpoints.iter().filter(|state| self.may_use(now, machine_id, state));
-        let good: Vec<Endpoint> =
+        let working: Vec<Endpoint> =
             allowed().filter(|state| state.is_working()).map(|state| state.endpoint.clone()).collect();
-        if !good.is_empty() {
-            return good;
+        if !working.is_empty() {
+            return working;
         }
-        let mut rest: Vec<&EndpointState> = allowed().collect();
-        rest.sort_by(|a, b| a.paused_until.total_cmp(&b.paused_until));
-        rest.into_iter().map(|state| state.endpoint.clone()).collect()
+        let mut failed: Vec<&EndpointState> = allowed().collect();
+        failed.sort_by(|a, b| a.paused_until.total_cmp(&b.paused_until));
+        failed.into_iter().map(|state| state.endpoint.clone()).collect()
     }
 
     /// Whether a connection over this endpoint may be given a new request.
@@ -323,8 +323,8 @@
         let machine = self.machines.get(machine_id);
         let state =
             machine.and_then(|m| m.endpoints.iter().find(|state| Some(&state.endpoint) == best.as_ref()));
-        let proved = state.filter(|state| state.is_working()).and_then(|state| state.answered_at);
-        if proved.is_some_and(|at| now - at < RECENT_ANSWER_MS) {
+        let answered_at = state.filter(|state| state.is_working()).and_then(|state| state.answered_at);
+        if answered_at.is_some_and(|at| now - at < RECENT_ANSWER_MS) {
             self.max_dials(now, machine_id)
         } else {
             1
@@ -354,8 +354,8 @@
         }
     }
 
-    /// Records an answered request, which shows that the endpoint works. The answer to a greeting does not
-    /// count: it shows only which machine is there.
+    /// Records an answered request or probe, which shows that the endpoint works. The answer to a greeting
+    /// does not count: it shows only which machine is there.
     pub fn record_answer(&mut self, now: Millis, machine_id: &CacheId, endpoint: &Endpoint) {
         if let Some(state) = self.endpoint_mut(machine_id, endpoint) {
             (state.answered_at, state.failures, state.paused_until) = (Some(now), 0, 0.0);
@@ -382,8 +382,8 @@
             return None;
         }
         let nominal = (first * 2.0_f64.powi(state.failures.min(30) as i32)).min(most);
-        let drawn = XxHash64::oneshot(seed, &count.to_le_bytes()) as f64 / u64::MAX as f64;
-        let pause = nominal * (1.0 + PAUSE_JITTER * (2.0 * drawn - 1.0));
+        let random = XxHash64::oneshot(seed, &count.to_le_bytes()) as f64 / u64::MAX as f64;
+        let pause = nominal * (1.0 + PAUSE_JITTER * (2.0 * random - 1.0));
         state.failures += 1;
         state.paused_until = now + pause;
         self.next_trial_check = self.next_trial_check.min(now + pause);
@@ -408,11 +408,11 @@
         self.next_trial_check = trial_candidates().map(|(.., at)| next(at)).fold(f64::INFINITY, f64::min);
         let mut trials = Vec::new();
         for (machine_id, endpoint) in due {
-            let busy = self
+            let trial_running = self
                 .machines
                 .get(&machine_id)
                 .is_some_and(|m| m.endpoints.iter().any(|state| state.trial_running));
-            if busy || !self.may_dial(now, &machine_id, &endpoint) {
+            if trial_running || !self.may_dial(now, &machine_id, &endpoint) {
                 continue;
             }
             if let Some(state) = self.endpoint_mut(&machine_id, &endpoint) {
@@ -434,9 +434,9 @@
     /// Returns the failed endpoints that may be tested by a trial, and from when.
     fn trial_candidates(&self) -> impl Iterator<Item = (&CacheId, &Endpoint, Millis)> {
         let serving = self.machines.iter().filter(|(_, m)| m.listing.phase == Phase::Serving);
-        let useful = serving
+        let testable = serving
             .filter(|(_, m)| m.endpoints.len() > 1 && m.endpoints.iter().any(EndpointState::is_working));
-        useful.flat_map(|(machine_id, machine)| {
+        testable.flat_map(|(machine_id, machine)| {
             let from = machine.listing.cold_until.unwrap_or(0.0);
             let resting =
                 machine.endpoints.iter().filter(|state| !state.is_working() && !state.trial_running);
--- a/src/back/connection.rs
+++ b/src/back/connection.rs
@@ -28,7 +28,7 @@
     pub(super) call: Option<Call>,
     /// The id under which an answer is expected; `None` for STOP.
     pub(super) opens_id: Option<String>,
-    /// The attempt must not be repeated, so it shares its connection with no other: a fault of another answer
+    /// The attempt must not be repeated, so it should not share its connection: a fault of another answer
     /// would cost it its own.
     pub(super) alone: bool,
     /// How often the frame was moved from a connection that closed.
@@ -46,14 +46,15 @@
     pub(super) connected_at: Option<Millis>,
     /// Deadline for the machine's answer to the greeting. Until it answers, no attempt or probe is sent.
     pub(super) greeting_deadline: Option<Millis>,
-    /// The endpoint that this connection tests after a failure; `None` once a request is answered over it.
+    /// The endpoint that this connection tests after a failure; `None` once a request or probe is answered
+    /// over it.
     pub(super) trial: Option<Endpoint>,
     /// Whether this connection's silence was recorded as a failure of its endpoint.
     pub(super) silence_reported: bool,
     pub(super) retired: bool,
     /// When the wait for any byte began, if a completely written request is unanswered.
     pub(super) silent_since: Option<Millis>,
-    /// When the connection last had something to send or receive.
+    /// Since when the connection is idle. Meaningful only while it carries nothing.
     pub(super) idle_since: Millis,
     pub(super) output: VecDeque<Frame>,
     pub(super) written: usize,
@@ -79,22 +80,28 @@
         self.silent_since.is_some_and(|since| now - since > UNRESPONSIVE_MS)
     }
 
-    pub(super) fn accepts(&self, now: Millis, addresses: &AddressTable, id: &str, streams: usize) -> bool {
+    pub(super) fn accepts(
+        &self,
+        now: Millis,
+        addresses: &AddressTable,
+        id: &str,
+        max_streams: usize,
+    ) -> bool {
         let may_use = match (&self.trial, &self.endpoint) {
             // A single request at a time tests whether the endpoint works again.
-            (Some(tried), Some(_)) => {
+            (Some(tested), Some(_)) => {
                 self.greeting_deadline.is_none()
                     && self.outstanding.is_empty()
-                    && addresses.may_dial(now, &self.machine, tried)
+                    && addresses.may_dial(now, &self.machine, tested)
             }
             (Some(_), None) => false,
             (None, Some(endpoint)) => addresses.accepts_requests(now, &self.machine, endpoint),
             (None, None) => true,
         };
-        let free = self.outstanding.len() < streams && !self.outstanding.contains_key(id);
+        let has_room = self.outstanding.len() < max_streams && !self.outstanding.contains_key(id);
         // A late answer under this id would be taken for the new one's.
-        let fresh = !self.closed_ids.iter().any(|(past, _)| past == id);
-        free && fresh && may_use && !self.retired && !self.is_unresponsive(now)
+        let id_unused = !self.closed_ids.iter().any(|(closed, _)| closed == id);
+        has_room && id_unused && may_use && !self.retired && !self.is_unresponsive(now)
     }
 
     /// Whether a further request should rather go to another connection.
@@ -108,10 +115,10 @@
     pub(super) fn close_id(&mut self, now: Millis, id: String) {
         self.closed_ids.push_back((id, now));
         let [min, max] = CLOSED_IDS_KEPT;
-        let old = |past: &VecDeque<(String, Millis)>| {
-            past.front().is_some_and(|(_, at)| now - at > CLOSED_ID_LIFETIME_MS)
+        let expired = |ids: &VecDeque<(String, Millis)>| {
+            ids.front().is_some_and(|(_, at)| now - at > CLOSED_ID_LIFETIME_MS)
         };
-        while self.closed_ids.len() > max || (self.closed_ids.len() > min && old(&self.closed_ids)) {
+        while self.closed_ids.len() > max || (self.closed_ids.len() > min && expired(&self.closed_ids)) {
             self.closed_ids.pop_front();
         }
     }
@@ -146,9 +153,9 @@
         let id = std::str::from_utf8(id).map_err(|_| ProtocolError("answer id is not UTF-8"))?;
         // Nothing can be answered before it is completely written. Accepting such an answer would free the
         // id, which the frame would then open a second time.
-        let asked = self.outstanding.get(id).filter(|open| open.progress == Progress::WrittenWhole);
-        let Some(purpose) = asked.map(|open| open.purpose) else {
-            let late = self.closed_ids.iter().any(|(past, _)| past == id);
+        let answered = self.outstanding.get(id).filter(|open| open.progress == Progress::WrittenWhole);
+        let Some(purpose) = answered.map(|open| open.purpose) else {
+            let late = self.closed_ids.iter().any(|(closed, _)| closed == id);
             return Ok(if late { EndpointEvent::Late } else { EndpointEvent::Unknown });
         };
         let (fields, body) = match (purpose, rest) {
--- a/src/back/dials.rs
+++ b/src/back/dials.rs
@@ -41,8 +41,8 @@
             // The endpoints may have changed since: by a discovery event, a claim, new settings, or another
             // connection's failure.
             let endpoints = match &connection.trial {
-                Some(tried) if self.addresses.may_dial(now, &connection.machine, tried) => {
-                    vec![tried.clone()]
+                Some(tested) if self.addresses.may_dial(now, &connection.machine, tested) => {
+                    vec![tested.clone()]
                 }
                 Some(_) => Vec::new(),
                 None => self.addresses.candidates(now, &connection.machine),
@@ -56,8 +56,8 @@
             if connection.retired || (connection.outstanding.is_empty() && connection.trial.is_none()) {
                 continue;
             }
-            let most = self.addresses.max_dials(now, &connection.machine);
-            let free = most.saturating_sub(*own).min(max_in_all.saturating_sub(open_in_all));
+            let limit = self.addresses.max_dials(now, &connection.machine);
+            let free = limit.saturating_sub(*own).min(max_in_all.saturating_sub(open_in_all));
             for step in race.poll(now, free, &mut self.next_dial) {
                 match step {
                     DialStep::Start(dial, endpoint) => {
@@ -89,11 +89,11 @@
         now: Millis,
         key: ConnectionKey,
         dial: DialKey,
-        how: DialError,
+        error: DialError,
     ) -> Option<EndpointPause> {
         let connection = self.connections.get_mut(&key)?;
         let race = connection.race.as_mut()?;
-        let why = match how {
+        let why = match error {
             DialError::NoRoom => {
                 race.postpone_dial(now, dial, true);
                 return None;
@@ -120,11 +120,12 @@
         let connection = self.connections.get_mut(&key)?;
         // If the machine has another endpoint, this one gets as long for the greeting as it had for
         // connecting.
-        let others = self.addresses.candidates(now, &connection.machine).len() > 1;
-        let delay = self.addresses.settings().filter(|_| others).map(|settings| settings.attempt_delay_ms.1);
-        let wait = delay.unwrap_or(GREETING_TIMEOUT_MS);
-        let won = match connection.race.take()?.win(now, dial) {
-            Ok(won) => won,
+        let has_others = self.addresses.candidates(now, &connection.machine).len() > 1;
+        let delay =
+            self.addresses.settings().filter(|_| has_others).map(|settings| settings.attempt_delay_ms.1);
+        let greeting_ms = delay.unwrap_or(GREETING_TIMEOUT_MS);
+        let win = match connection.race.take()?.win(now, dial) {
+            Ok(win) => win,
             Err(race) => {
                 connection.race = Some(race);
                 return None;
@@ -132,8 +133,8 @@
         };
         self.dialing.remove(&key);
         (connection.connected_at, connection.idle_since, connection.last_received_at) = (Some(now), now, now);
-        self.addresses.record_connected(&connection.machine, &won.endpoint, won.took_ms);
-        connection.endpoint = Some(won.endpoint);
+        self.addresses.record_connected(&connection.machine, &win.endpoint, win.took_ms);
+        connection.endpoint = Some(win.endpoint);
         if connection.trial.is_some()
             || self.addresses.settings().is_some_and(|settings| settings.verify_names)
         {
@@ -151,10 +152,10 @@
                 alone: false,
                 moves: 0,
             });
-            connection.greeting_deadline = Some(now + wait);
+            connection.greeting_deadline = Some(now + greeting_ms);
         }
         let mut actions = Vec::new();
-        for (dial, endpoint, overtaken) in won.losers {
+        for (dial, endpoint, overtaken) in win.losers {
             actions.push(DialAction::Close(dial));
             if overtaken {
                 let pause = pause_endpoint(
@@ -179,7 +180,7 @@
         if self.addresses.settings().is_none() {
             return (pauses, moved);
         }
-        let newly = |connection: &Connection| {
+        let newly_unresponsive = |connection: &Connection| {
             connection.connected_at.is_some()
                 && !connection.silence_reported
                 && connection.is_unresponsive(now)
@@ -187,7 +188,7 @@
         let keys: Vec<ConnectionKey> = self
             .connections
             .iter()
-            .filter(|(_, connection)| newly(connection))
+            .filter(|(_, connection)| newly_unresponsive(connection))
             .map(|(key, _)| *key)
             .collect();
         for key in keys {
@@ -206,11 +207,11 @@
             if self.addresses.accepts_requests(now, &machine, &endpoint) {
                 continue; // The machine has no other working endpoint.
             }
-            let waits = |open: &Outstanding| matches!(open.purpose, Purpose::Attempt(_) | Purpose::Probe);
+            let movable = |open: &Outstanding| matches!(open.purpose, Purpose::Attempt(_) | Purpose::Probe);
             let unsent = connection
                 .outstanding
                 .iter()
-                .filter(|(_, o)| waits(o) && o.progress == Progress::NotConnected);
+                .filter(|(_, o)| movable(o) && o.progress == Progress::NotConnected);
             let unsent: Vec<(String, Purpose)> =
                 unsent.map(|(id, open)| (id.clone(), open.purpose)).collect();
             for (id, purpose) in unsent {
@@ -221,14 +222,14 @@
                     .position(|f| f.opens_id.as_ref() == Some(&id) && f.moves < MAX_MOVES);
                 let Some(mut frame) = at.and_then(|at| connection.output.remove(at)) else { continue };
                 frame.moves += 1;
-                let back = frame.clone();
+                let copy = frame.clone();
                 let Some(open) = connection.outstanding.remove(&id) else { continue };
                 match self.queue(now, purpose, &machine, frame, true) {
                     Ok((to, _)) => drop(moved.insert(to)),
                     Err(_) => {
                         let Some(connection) = self.connections.get_mut(&key) else { break };
                         connection.outstanding.insert(id, open);
-                        connection.output.push_back(back);
+                        connection.output.push_back(copy);
                     }
                 }
             }
--- a/src/back/mod.rs
+++ b/src/back/mod.rs
@@ -201,11 +201,11 @@
         let concerned =
             |connection: &&mut Connection| machine.is_none_or(|machine| connection.machine == *machine);
         for connection in self.connections.values_mut().filter(concerned) {
-            let gone = connection
+            let unlisted = connection
                 .endpoint
                 .as_ref()
                 .is_some_and(|e| !self.addresses.contains(&connection.machine, e));
-            connection.retired |= gone;
+            connection.retired |= unlisted;
         }
     }
 
@@ -258,7 +258,7 @@
             (count, dialing) = (count + 1, dialing + usize::from(connection.connected_at.is_none()));
         }
         let reusable = |connection: &Connection| may_reuse || connection.connected_at.is_none();
-        // An attempt that must not be repeated is no test of an endpoint.
+        // An attempt that must not be repeated does not test an endpoint.
         let suitable =
             |connection: &Connection| reusable(connection) && !(frame.alone && connection.trial.is_some());
         let usable = own().filter(|(_, connection)| {
@@ -392,8 +392,8 @@
         };
         let Some(frame) = connection.output.pop_front() else { return };
         connection.idle_since = now;
-        let open = frame.opens_id.and_then(|id| connection.outstanding.remove(&id));
-        if let Some(Purpose::Attempt(attempt)) = open.map(|open| open.purpose) {
+        let outstanding = frame.opens_id.and_then(|id| connection.outstanding.remove(&id));
+        if let Some(Purpose::Attempt(attempt)) = outstanding.map(|outstanding| outstanding.purpose) {
             self.by_attempt.remove(&attempt);
         }
     }
@@ -401,11 +401,11 @@
     /// Returns the next bytes to write.
     pub fn output(&self, key: ConnectionKey) -> Option<&[u8]> {
         let connection = self.connections.get(&key).filter(|connection| connection.connected_at.is_some())?;
-        let greets = |frame: &&Frame| {
+        let may_send = |frame: &&Frame| {
             let id = frame.opens_id.as_ref().and_then(|id| connection.outstanding.get(id));
             connection.greeting_deadline.is_none() || id.is_some_and(|open| open.purpose == Purpose::Greeting)
         };
-        connection.output.front().filter(greets).map(|frame| &frame.bytes[connection.written..])
+        connection.output.front().filter(may_send).map(|frame| &frame.bytes[connection.written..])
     }
 
     /// Records that `bytes` of the output were written. Returns the attempt that has progressed by it.
@@ -413,14 +413,14 @@
         let connection = self.connections.get_mut(&key)?;
         connection.written += bytes;
         let frame = connection.output.front()?;
-        let whole = connection.written >= frame.bytes.len();
-        let progress = if whole { Progress::WrittenWhole } else { Progress::PartlyWritten };
-        let open = frame.opens_id.as_ref().and_then(|id| connection.outstanding.get_mut(id));
-        let purpose = open.map(|open| {
+        let complete = connection.written >= frame.bytes.len();
+        let progress = if complete { Progress::WrittenWhole } else { Progress::PartlyWritten };
+        let outstanding = frame.opens_id.as_ref().and_then(|id| connection.outstanding.get_mut(id));
+        let purpose = outstanding.map(|open| {
             open.progress = progress;
             open.purpose
         });
-        if whole {
+        if complete {
             connection.silent_since = connection.silent_since.or(frame.opens_id.as_ref().map(|_| now));
             connection.output.pop_front();
             connection.written = 0;
@@ -441,11 +441,11 @@
         let mut events = Vec::new();
         let Some(connection) = self.connections.get_mut(&key) else { return (events, None) };
         // Bytes after a complete frame arrived together with its last ones, now.
-        let (mut begins, mut answered) = (!connection.decoder.has_partial_frame(), false);
+        let (mut answer_starts, mut answered) = (!connection.decoder.has_partial_frame(), false);
         connection.decoder.feed(bytes);
-        let fault = loop {
+        let error = loop {
             let frame = connection.decoder.next_frame();
-            begins |= matches!(frame, Ok(Some(_)));
+            answer_starts |= matches!(frame, Ok(Some(_)));
             match frame {
                 Ok(Some(frame)) => {
                     match connection.handle_frame(
@@ -454,18 +454,18 @@
                         self.addresses.settings().is_some_and(|settings| settings.verify_names),
                     ) {
                         Ok(EndpointEvent::Greeted) => {}
-                        Ok(one) => {
-                            answered |= matches!(one, EndpointEvent::Answer(..) | EndpointEvent::Probe(..));
-                            if let EndpointEvent::Answer(attempt, _) = &one {
+                        Ok(event) => {
+                            answered |= matches!(event, EndpointEvent::Answer(..) | EndpointEvent::Probe(..));
+                            if let EndpointEvent::Answer(attempt, _) = &event {
                                 self.by_attempt.remove(attempt);
                             }
-                            events.push(one);
+                            events.push(event);
                         }
-                        Err(fault) => break Some(fault),
+                        Err(error) => break Some(error),
                     }
                 }
                 Ok(None) => break None,
-                Err(fault) => break Some(fault),
+                Err(error) => break Some(error),
             }
         };
         if let Some(endpoint) = connection.endpoint.as_ref().filter(|_| answered) {
@@ -473,31 +473,32 @@
             (connection.silence_reported, connection.trial) = (false, None);
         }
         (connection.idle_since, connection.last_received_at) = (now, now);
-        connection.answer_started_at = if begins { now } else { connection.answer_started_at };
-        let out = connection.outstanding.values().any(|open| open.progress == Progress::WrittenWhole);
-        connection.silent_since = out.then_some(now);
-        (events, fault)
+        connection.answer_started_at = if answer_starts { now } else { connection.answer_started_at };
+        let awaits_answer =
+            connection.outstanding.values().any(|open| open.progress == Progress::WrittenWhole);
+        connection.silent_since = awaits_answer.then_some(now);
+        (events, error)
     }
 
     /// Handles a connection that has closed or never came up. If it was up, frames that were not written move
-    /// to other connections: nothing is known against the machine. `blame` is the failure that the close
+    /// to other connections: nothing is known against the machine. `failure` is the failure that the close
     /// shows of its endpoint.
     pub fn connection_closed(
         &mut self,
         now: Millis,
         key: ConnectionKey,
-        blame: Option<EndpointFailure>,
+        failure: Option<EndpointFailure>,
     ) -> ClosedConnection {
-        let mut ended = ClosedConnection::default();
-        let Some(mut connection) = self.connections.remove(&key) else { return ended };
+        let mut closed = ClosedConnection::default();
+        let Some(mut connection) = self.connections.remove(&key) else { return closed };
         self.dialing.remove(&key);
-        ended.dials = connection
+        closed.dials = connection
             .race
             .as_ref()
             .map_or(Vec::new(), |race| race.open_dials().iter().map(|d| d.key).collect());
         if let Some(race) = connection.race.as_ref().filter(|_| !connection.retired) {
             for dial in race.open_dials() {
-                ended.paused.extend(pause_endpoint(
+                closed.paused.extend(pause_endpoint(
                     &mut self.addresses,
                     now,
                     &connection.machine,
@@ -507,8 +508,8 @@
             }
         }
         if let Some(endpoint) = &connection.endpoint {
-            if let Some(why) = blame {
-                ended.paused.extend(pause_endpoint(
+            if let Some(why) = failure {
+                closed.paused.extend(pause_endpoint(
                     &mut self.addresses,
                     now,
                     &connection.machine,
@@ -517,8 +518,8 @@
                 ));
             }
         }
-        if let Some(tried) = &connection.trial {
-            self.addresses.end_trial(now, &connection.machine, tried);
+        if let Some(tested) = &connection.trial {
+            self.addresses.end_trial(now, &connection.machine, tested);
         }
         // Other connections over the same endpoint may be dead as well.
         let other_endpoint = connection
@@ -537,7 +538,7 @@
                     frame.moves += 1;
                     if let Ok((to, _)) = self.queue(now, purpose, &connection.machine, frame, other_endpoint)
                     {
-                        ended.moved.insert(to);
+                        closed.moved.insert(to);
                         continue;
                     }
                 }
@@ -545,14 +546,14 @@
             match purpose {
                 Purpose::Attempt(attempt) => {
                     self.by_attempt.remove(&attempt);
-                    ended.lost.push((attempt, progress));
+                    closed.lost.push((attempt, progress));
                 }
-                Purpose::Probe => ended.probes.push(connection.machine.clone()),
+                Purpose::Probe => closed.probes.push(connection.machine.clone()),
                 Purpose::Greeting => {}
             }
         }
-        ended.lost.sort_unstable();
-        ended
+        closed.lost.sort_unstable();
+        closed
     }
 
     /// Returns the connection that carries an attempt.
@@ -597,9 +598,9 @@
 
     /// Returns the connections that must be closed now, and why.
     pub fn expired(&self, now: Millis) -> Vec<(ConnectionKey, EndpointClose)> {
-        let due = |connection: &Connection| {
+        let close_reason = |connection: &Connection| {
             let empty = connection.outstanding.is_empty() && connection.output.is_empty();
-            let passed = connection.deadline(self.idle_ms).is_some_and(|at| at <= now);
+            let expired = connection.deadline(self.idle_ms).is_some_and(|at| at <= now);
             match connection.connected_at {
                 None if connection.retired && empty => Some(EndpointClose::NotWanted),
                 None => connection.race.as_ref().filter(|race| race.is_over(now)).map(|race| {
@@ -609,15 +610,20 @@
                     }
                 }),
                 Some(_) if connection.greeting_deadline.is_some() => {
-                    passed.then_some(EndpointClose::NoGreeting)
+                    expired.then_some(EndpointClose::NoGreeting)
+                }
+                Some(_) if connection.decoder.has_partial_frame() => {
+                    expired.then_some(EndpointClose::Stalled)
                 }
-                Some(_) if connection.decoder.has_partial_frame() => passed.then_some(EndpointClose::Stalled),
                 Some(_) => {
-                    (passed || (empty && connection.is_unresponsive(now))).then_some(EndpointClose::Idle)
+                    (expired || (empty && connection.is_unresponsive(now))).then_some(EndpointClose::Idle)
                 }
             }
         };
-        self.connections.iter().filter_map(|(key, connection)| Some((*key, due(connection)?))).collect()
+        self.connections
+            .iter()
+            .filter_map(|(key, connection)| Some((*key, close_reason(connection)?)))
+            .collect()
     }
 
     /// Returns when expired or unresponsive connections and dials must be checked next.
--- a/src/back/wire.rs
+++ b/src/back/wire.rs
@@ -80,10 +80,10 @@
     if let Some(age) = fetch.max_age_ms {
         field("newer", (age.floor().max(1.0) as u64).to_string());
     }
-    let how = [(fetch.join, "coalesce"), (fetch.held_only, "shallow"), (fetch.renew, "freshen")];
-    let how: Vec<&str> = how.iter().filter(|(wanted, _)| *wanted).map(|(_, word)| *word).collect();
-    if !how.is_empty() {
-        field("handle", how.join("+"));
+    let flags = [(fetch.join, "coalesce"), (fetch.held_only, "shallow"), (fetch.renew, "freshen")];
+    let flags: Vec<&str> = flags.iter().filter(|(wanted, _)| *wanted).map(|(_, flag)| *flag).collect();
+    if !flags.is_empty() {
+        field("handle", flags.join("+"));
     }
     if let Some(tag) = &ask.holds {
         field("holds", tag.clone());
--- a/src/config/check.rs
+++ b/src/config/check.rs
@@ -57,7 +57,7 @@
     for (path, max) in NUMBER_LISTS {
         options.list(path).try_for_each(|text| check_range(text, path, max))?;
     }
-    let mut words: Vec<(String, &[&str], &str)> =
+    let mut keywords: Vec<(String, &[&str], &str)> =
         KEYWORDS.iter().map(|(path, known, fallback)| ((*path).to_owned(), *known, *fallback)).collect();
     let mut names = HashSet::new();
     for at in 0..options.number("RequestClasses.count")?.clamp(0.0, 1e4) as usize {
@@ -73,15 +73,15 @@
         if options.number(&path("HardLimitMs"))? == 0.0 {
             return Err(format!("{} is missing: no request of {name} could be served", path("HardLimitMs")));
         }
-        words.push((path("Repeat"), &["retryable", "dedup", "fragile"], "fragile"));
+        keywords.push((path("Repeat"), &["retryable", "dedup", "fragile"], "fragile"));
         if options.text(&path("Repeat")) == "dedup" {
-            words.push((path("DedupScope"), &["all", "zone", "cell"], "cell"));
+            keywords.push((path("DedupScope"), &["all", "zone", "cell"], "cell"));
             if options.number(&path("DedupWindowMs"))? == 0.0 {
                 missing.push(path("DedupWindowMs"));
             }
         }
     }
-    for (path, known, fallback) in words {
+    for (path, known, fallback) in keywords {
         match options.text(&path) {
             "" | "-" => missing.push(path),
             text if known.contains(&text) => {}
--- a/src/discovery.rs
+++ b/src/discovery.rs
@@ -99,8 +99,8 @@
     problems: &mut Vec<String>,
 ) -> Result<(u64, Vec<DiscoveryEvent>), String> {
     let rev = value.get_u64("rev").ok_or("rev is missing")?;
-    let list = value.get_array("notices").ok_or("notices are missing")?;
-    Ok((rev, list.iter().map(|one| parse_event(one, problems)).collect::<Result<_, _>>()?))
+    let events = value.get_array("notices").ok_or("notices are missing")?;
+    Ok((rev, events.iter().map(|one| parse_event(one, problems)).collect::<Result<_, _>>()?))
 }
 
 fn parse_event(value: &OwnedValue, problems: &mut Vec<String>) -> Result<DiscoveryEvent, String> {
@@ -222,8 +222,8 @@
         if size == 0 {
             // The empty line after the last chunk belongs to this response; otherwise it would precede the
             // next one.
-            let left = rest[start..].strip_prefix(b"\r\n");
-            return Ok(left.map(|left| (body, left.len())));
+            let after_end = rest[start..].strip_prefix(b"\r\n");
+            return Ok(after_end.map(|after| (body, after.len())));
         }
         body.extend_from_slice(chunk);
         match after.strip_prefix(b"\r\n") {
@@ -303,9 +303,9 @@
         self.polled_at = None;
         let value = simd_json::to_owned_value(&mut body).map_err(|e| format!("not JSON: {e}"))?;
         let mut problems = Vec::new();
-        let (rev, list) = parse_events_leniently(&value, &mut problems)?;
+        let (rev, events) = parse_events_leniently(&value, &mut problems)?;
         problems.truncate(MAX_REPORTED_PROBLEMS);
-        let events = self.accept_in_order(rev, list)?;
+        let events = self.accept_in_order(rev, events)?;
         (self.failures, self.gap_failures, self.next_poll_at) = (0, 0, now);
         Ok(Some(PollResponse { events, problems, unexpected_data }))
     }
@@ -314,22 +314,22 @@
     fn accept_in_order(
         &mut self,
         rev: u64,
-        mut list: Vec<DiscoveryEvent>,
+        mut events: Vec<DiscoveryEvent>,
     ) -> Result<Vec<DiscoveryEvent>, String> {
-        list.sort_by_key(|event| event.rev);
-        list.dedup_by_key(|event| event.rev);
-        if list.last().map_or(rev, |event| rev.max(event.rev)) < self.last_rev {
+        events.sort_by_key(|event| event.rev);
+        events.dedup_by_key(|event| event.rev);
+        if events.last().map_or(rev, |event| rev.max(event.rev)) < self.last_rev {
             // The service's numbering has started over, or this is an outdated response: request everything
             // again, to be safe.
             self.last_rev = 0;
             return Ok(Vec::new());
         }
-        list.retain(|event| event.rev > self.last_rev);
-        let (anew, mut expected) = (self.last_rev == 0, self.last_rev);
-        for event in &list {
+        events.retain(|event| event.rev > self.last_rev);
+        let (from_start, mut expected) = (self.last_rev == 0, self.last_rev);
+        for event in &events {
             expected += 1;
-            let whole = matches!(event.announcement, Some(Announcement::Pool { snapshot: true, .. }));
-            if event.rev != expected && !whole {
+            let is_snapshot = matches!(event.announcement, Some(Announcement::Pool { snapshot: true, .. }));
+            if event.rev != expected && !is_snapshot {
                 self.gap_failures += 1;
                 let last = self.last_rev;
                 if self.gap_failures > MAX_GAP_RETRIES {
@@ -340,7 +340,7 @@
             expected = event.rev;
         }
         self.last_rev = expected;
-        Ok(if anew { merge_into_snapshot(list) } else { list })
+        Ok(if from_start { merge_into_snapshot(events) } else { events })
     }
 
     /// Takes over another discovery address. Forgets an outstanding poll and polls the new address soon, for
@@ -355,9 +355,9 @@
     /// Records a failed poll. The list of machines stays as it is, and polling resumes after the last event,
     /// the first time at once.
     pub fn poll_failed(&mut self, now: Millis) {
-        let [first, most] = BACKOFF_MS;
+        let [first, max] = BACKOFF_MS;
         let wait = if self.failures == 0 { 0.0 } else { first * 2.0_f64.powi(self.failures.min(10) as i32) };
-        self.next_poll_at = now + wait.min(most) * (1.0 - 0.5 * self.jitter_fraction());
+        self.next_poll_at = now + wait.min(max) * (1.0 - 0.5 * self.jitter_fraction());
         self.failures += 1;
         self.buffer.clear();
         self.polled_at = None;
@@ -365,18 +365,18 @@
 
     /// A deterministic random fraction from 0 to 1, different for each router and each number of failures.
     fn jitter_fraction(&self) -> f64 {
-        let turn = u64::from(self.failures).to_le_bytes();
-        XxHash64::oneshot(self.seed, &turn) as f64 / u64::MAX as f64
+        let round = u64::from(self.failures).to_le_bytes();
+        XxHash64::oneshot(self.seed, &round) as f64 / u64::MAX as f64
     }
 }
 
 /// Merges changes that come together with a snapshot into the snapshot. Acting on the states in between would
 /// be wrong, for example by closing connections to an endpoint that is back by now.
-fn merge_into_snapshot(list: Vec<DiscoveryEvent>) -> Vec<DiscoveryEvent> {
-    let mut merged: Vec<DiscoveryEvent> = Vec::with_capacity(list.len());
-    let mut into = None;
-    for event in list {
-        match (event.announcement, into) {
+fn merge_into_snapshot(events: Vec<DiscoveryEvent>) -> Vec<DiscoveryEvent> {
+    let mut merged: Vec<DiscoveryEvent> = Vec::with_capacity(events.len());
+    let mut snapshot_at = None;
+    for event in events {
+        match (event.announcement, snapshot_at) {
             (Some(Announcement::Pool { snapshot: false, machines }), Some(at)) => {
                 let Some(DiscoveryEvent {
                     announcement: Some(Announcement::Pool { machines: all, .. }), ..
@@ -390,10 +390,10 @@
                 }
             }
             (announcement, _) => {
-                into = if matches!(announcement, Some(Announcement::Pool { snapshot: true, .. })) {
+                snapshot_at = if matches!(announcement, Some(Announcement::Pool { snapshot: true, .. })) {
                     Some(merged.len())
                 } else {
-                    into
+                    snapshot_at
                 };
                 merged.push(DiscoveryEvent { rev: event.rev, announcement });
             }
--- a/src/front.rs
+++ b/src/front.rs
@@ -163,48 +163,55 @@
         }
         self.decoder.feed(bytes);
         let mut events = Vec::new();
-        let fault = self.read_records(now, &mut events).err();
-        (events, fault)
+        let error = self.read_records(now, &mut events).err();
+        (events, error)
     }
 
     fn read_records(&mut self, now: Millis, events: &mut Vec<ClientEvent>) -> Result<(), ProtocolError> {
         while let Some(record) = self.decoder.next_record()? {
-            let Some(one) = self.handle_record(now, record)? else { continue };
+            let Some(event) = self.handle_record(now, record)? else { continue };
             // A request that is aborted within the same input needs no handling at all.
-            let same = |other: &ClientEvent| matches!((other, &one), (ClientEvent::Request(a, ..), ClientEvent::Aborted(b)) if a == b);
-            match events.iter().position(same) {
+            let requested = |other: &ClientEvent| {
+                matches!(
+                    (other, &event),
+                    (ClientEvent::Request(a, ..), ClientEvent::Aborted(b)) if a == b
+                )
+            };
+            match events.iter().position(requested) {
                 Some(at) => drop(events.remove(at)),
-                None => events.push(one),
+                None => events.push(event),
             }
         }
         Ok(())
     }
 
     fn handle_record(&mut self, now: Millis, record: Record) -> Result<Option<ClientEvent>, ProtocolError> {
-        let Record { kind: what, request, content } = record;
+        let Record { kind: record_type, request, content } = record;
         if request == 0 {
-            self.handle_management(what, &content)?;
+            self.handle_management(record_type, &content)?;
             return Ok(None);
         }
-        if what == kind::BEGIN {
+        if record_type == kind::BEGIN {
             return self.begin_request(now, request, &content);
         }
-        if what == kind::ABORT && !self.open.contains_key(&request) {
+        if record_type == kind::ABORT && !self.open.contains_key(&request) {
             self.retract_answer(request);
         }
-        let Some(open) =
-            self.open.get_mut(&request).filter(|open| open.stage != Stage::Rejected || what == kind::ABORT)
+        let Some(open) = self
+            .open
+            .get_mut(&request)
+            .filter(|open| open.stage != Stage::Rejected || record_type == kind::ABORT)
         else {
             // Records of an answered, rejected or unknown request come late and are discarded, up to a limit.
             self.discarded_bytes += content.len();
-            let endless = self.discarded_bytes > MAX_DISCARDED_BYTES;
-            return if endless {
+            let too_much = self.discarded_bytes > MAX_DISCARDED_BYTES;
+            return if too_much {
                 Err(ProtocolError::Malformed("too much input after a rejection"))
             } else {
                 Ok(None)
             };
         };
-        match (what, open.stage) {
+        match (record_type, open.stage) {
             (kind::ABORT, _) => {
                 let serial = open.serial;
                 self.buffered_bytes -= open.params.len() + open.body.len();
@@ -245,9 +252,9 @@
                 self.had_request = true;
                 let pairs = match fastcgi::pairs(&params) {
                     Ok(pairs) => pairs,
-                    Err(fault) => {
+                    Err(error) => {
                         self.open.remove(&request); // No one will answer it.
-                        return Err(fault);
+                        return Err(error);
                     }
                 };
                 if param(&pairs, "SCRIPT_NAME") == Ok(Some("/alive")) {
@@ -294,9 +301,9 @@
         Ok(None)
     }
 
-    fn handle_management(&mut self, what: u8, content: &[u8]) -> Result<(), ProtocolError> {
+    fn handle_management(&mut self, record_type: u8, content: &[u8]) -> Result<(), ProtocolError> {
         let mut out = Vec::new();
-        if what == kind::GET_VALUES {
+        if record_type == kind::GET_VALUES {
             let mut values = Vec::new();
             for (name, _) in fastcgi::pairs(content)? {
                 let value: &[u8] = match name {
@@ -309,7 +316,7 @@
             }
             fastcgi::record(&mut out, kind::GET_VALUES_RESULT, 0, &values);
         } else {
-            fastcgi::record(&mut out, kind::UNKNOWN, 0, &[what, 0, 0, 0, 0, 0, 0, 0]);
+            fastcgi::record(&mut out, kind::UNKNOWN, 0, &[record_type, 0, 0, 0, 0, 0, 0, 0]);
         }
         self.queue_record(0, out);
         Ok(())
@@ -358,8 +365,8 @@
     /// Removes the queued records of an answer, except a record that is partly written. The client has
     /// aborted the request and may reuse its id.
     fn retract_answer(&mut self, request: u16) {
-        let begun = usize::from(self.front_written > 0).min(self.output_queue.len());
-        let mut kept = self.output_queue.split_off(begun);
+        let started = usize::from(self.front_written > 0).min(self.output_queue.len());
+        let mut kept = self.output_queue.split_off(started);
         let before: usize = kept.iter().map(|(_, record)| record.len()).sum();
         kept.retain(|(of, _)| *of != request);
         let bytes = before - kept.iter().map(|(_, record)| record.len()).sum::<usize>();
@@ -385,13 +392,13 @@
 
     /// Rejects all incomplete requests. Each of them is owed an answer; the rest of their input is discarded.
     pub fn reject_incomplete(&mut self) -> Vec<ClientEvent> {
-        let mut cut = Vec::new();
+        let mut rejected = Vec::new();
         for open in self.open.values_mut().filter(|open| open.is_incomplete()) {
             let (params, body) = open.end_input(Stage::Rejected);
             self.buffered_bytes -= params.len() + body.len();
-            cut.push(ClientEvent::CutShort(open.serial));
+            rejected.push(ClientEvent::CutShort(open.serial));
         }
-        cut
+        rejected
     }
 
     /// Whether no request is open and no answer unwritten. A partial record may be buffered.
@@ -423,12 +430,13 @@
         let quiet = self.open.is_empty() && self.unwritten_bytes == 0;
         let silent = quiet && !self.had_request && now - self.opened_at > REQUEST_READ_TIMEOUT_MS;
         let idle = quiet && now - self.last_activity_at > IDLE_TIMEOUT_MS;
-        let deaf = self.unwritten_bytes > 0 && now - self.last_write_at > self.write_timeout_ms;
-        let reasons = [(idle, ClientClose::Idle), (deaf, ClientClose::Deaf), (silent, ClientClose::Silent)];
+        let stalled = self.unwritten_bytes > 0 && now - self.last_write_at > self.write_timeout_ms;
+        let reasons =
+            [(idle, ClientClose::Idle), (stalled, ClientClose::Deaf), (silent, ClientClose::Silent)];
         if let Some((_, reason)) = reasons.into_iter().find(|(holds, _)| *holds) {
             return TimeoutStatus::Connection(reason);
         }
-        let mut late = Vec::new();
+        let mut expired = Vec::new();
         for open in self
             .open
             .values_mut()
@@ -436,13 +444,13 @@
         {
             let (params, body) = open.end_input(Stage::Rejected);
             self.buffered_bytes -= params.len() + body.len();
-            late.push(ClientEvent::Request(open.serial, Err("it never came whole"), 0.0));
+            expired.push(ClientEvent::Request(open.serial, Err("it never came whole"), 0.0));
         }
-        if late.is_empty() {
+        if expired.is_empty() {
             return TimeoutStatus::Ok;
         }
         self.had_request = true;
-        TimeoutStatus::Requests(late)
+        TimeoutStatus::Requests(expired)
     }
 
     /// Returns the order in which connections are shed when file descriptors run short, lowest first:
@@ -450,9 +458,9 @@
     /// is in use, or too young to tell.
     pub fn shed_priority(&self, now: Millis) -> Option<(bool, u64)> {
         let since = if self.had_request { self.last_activity_at } else { self.opened_at };
-        let awaits = self.open.values().any(|open| !open.is_incomplete());
-        let used = awaits || self.unwritten_bytes > 0 || (self.had_request && !self.open.is_empty());
-        (!used && now - since > MIN_SHED_AGE_MS).then_some((self.had_request, since as u64))
+        let awaits_answer = self.open.values().any(|open| !open.is_incomplete());
+        let in_use = awaits_answer || self.unwritten_bytes > 0 || (self.had_request && !self.open.is_empty());
+        (!in_use && now - since > MIN_SHED_AGE_MS).then_some((self.had_request, since as u64))
     }
 
     /// Returns the number of bytes buffered for incomplete requests.
@@ -473,10 +481,10 @@
     /// Records that `bytes` of the output were written.
     pub fn wrote(&mut self, now: Millis, bytes: usize) {
         (self.last_activity_at, self.last_write_at) = (now, now);
-        let was_full = self.blocked_since.take().is_some_and(|since| now - since > SHORT_BLOCK_MS);
-        let most = if was_full { MAX_READ_LAG_AFTER_BLOCK_MS } else { MAX_READ_LAG_MS };
-        let lag = if was_full { most } else { bytes as f64 / SLOWEST_CLIENT_BYTES_PER_MS };
-        let read_by = (self.client_read_by.max(now) + lag).min(now + most);
+        let was_blocked = self.blocked_since.take().is_some_and(|since| now - since > SHORT_BLOCK_MS);
+        let max_lag = if was_blocked { MAX_READ_LAG_AFTER_BLOCK_MS } else { MAX_READ_LAG_MS };
+        let lag = if was_blocked { max_lag } else { bytes as f64 / SLOWEST_CLIENT_BYTES_PER_MS };
+        let read_by = (self.client_read_by.max(now) + lag).min(now + max_lag);
         self.client_read_by = self.client_read_by.max(read_by);
         self.front_written += bytes;
         self.unwritten_bytes -= bytes;
@@ -545,14 +553,14 @@
     text.len() == 16 && text.bytes().all(|byte| byte.is_ascii_hexdigit())
 }
 
-/// Parses a number between 0 and `most`; rejects NaN.
-fn number_within(text: &str, most: f64, why: &'static str) -> Result<f64, &'static str> {
-    text.parse::<f64>().ok().filter(|figure| (0.0..=most).contains(figure)).ok_or(why)
+/// Parses a number between 0 and `max`; rejects NaN.
+fn number_within(text: &str, max: f64, why: &'static str) -> Result<f64, &'static str> {
+    text.parse::<f64>().ok().filter(|number| (0.0..=max).contains(number)).ok_or(why)
 }
 
-fn integer_within(text: &str, most: u64, why: &'static str) -> Result<u64, &'static str> {
+fn integer_within(text: &str, max: u64, why: &'static str) -> Result<u64, &'static str> {
     let digits = text.bytes().all(|byte| byte.is_ascii_digit());
-    text.parse().ok().filter(|number| digits && *number <= most).ok_or(why)
+    text.parse().ok().filter(|number| digits && *number <= max).ok_or(why)
 }
 
 /// Parses the parameters of a request. Malformed requests are not forwarded: a machine would answer with an
