--- a/tests/connections.rs
+++ b/tests/connections.rs
@@ -28,7 +28,7 @@
 #[derive(Clone, Debug)]
 enum ClientStep {
     Ask { request: u16, body: usize, cut: usize },
-    Half { request: u16 },
+    BeginOnly { request: u16 },
     Abort { request: u16 },
     Answer { which: usize, body: usize },
     Write { most: usize },
@@ -40,7 +40,7 @@
         let body = *g.choose(&[0, 1, 7, 900, 65_535, 240_000]).unwrap_or(&0);
         match u8::arbitrary(g) % 9 {
             0..=2 => Self::Ask { request, body, cut: usize::arbitrary(g) % 4000 + 1 },
-            3 => Self::Half { request },
+            3 => Self::BeginOnly { request },
             4 => Self::Abort { request },
             5 | 6 => Self::Answer { which, body },
             _ => Self::Write { most: usize::arbitrary(g) % 100_000 },
@@ -117,9 +117,9 @@
         let mut excused: BTreeSet<u16> = BTreeSet::new();
         for step in steps {
             match step {
-                ClientStep::Ask { request, .. } | ClientStep::Half { request }
+                ClientStep::Ask { request, .. } | ClientStep::BeginOnly { request }
                     if open.contains_key(&request) || unseen.contains(&request) => {}
-                ClientStep::Half { request } => {
+                ClientStep::BeginOnly { request } => {
                     let full = open.len() >= 32 || conn.unwritten_bytes() >= REJECT_UNWRITTEN_BYTES;
                     let received = events(conn.receive(0.0, &begin(request, 1))).expect("well-formed");
                     assert_eq!(received, []);
@@ -165,8 +165,8 @@
                     }
                 }
                 ClientStep::Answer { which, body } => {
-                    let whole: Vec<_> = open.iter().filter_map(|(id, s)| s.map(|s| (*id, s))).collect();
-                    let Some((request, serial)) = whole.get(which % whole.len().max(1)).copied() else {
+                    let complete: Vec<_> = open.iter().filter_map(|(id, s)| s.map(|s| (*id, s))).collect();
+                    let Some((request, serial)) = complete.get(which % complete.len().max(1)).copied() else {
                         continue;
                     };
                     let reply = Reply::Served(vec![9; body]);
@@ -264,12 +264,12 @@
     fastcgi::record(&mut out, kind::ABORT, 6, b"");
     assert_eq!(events(conn.receive(0.0, &out)), Ok(vec![ClientEvent::Aborted(6)]));
     // A client that keeps sending requests: the rejections queued for it are bounded as well.
-    let mut asked = 0;
+    let mut sent = 0;
     while conn.may_read() {
-        asked += 1;
+        sent += 1;
         events(conn.receive(0.0, &request_bytes(8, "/ops/page", ID, b""))).expect("well-formed");
     }
-    assert!(asked > 10_000 && conn.unwritten_bytes() < 3 * REJECT_UNWRITTEN_BYTES, "{asked}");
+    assert!(sent > 10_000 && conn.unwritten_bytes() < 3 * REJECT_UNWRITTEN_BYTES, "{sent}");
     let mut client = Client::default();
     while let Some(bytes) = conn.output().map(<[u8]>::to_vec) {
         conn.wrote(0.0, bytes.len());
@@ -278,7 +278,7 @@
     let served = client.ended.iter().filter(|(_, status, _)| *status == 0).count();
     assert_eq!(
         (served, client.ended.len() as u64),
-        (5, 5 + 1 + asked),
+        (5, 5 + 1 + sent),
         "the owed answers, and one rejection per further request"
     );
 }
@@ -506,9 +506,9 @@
     Call { ask: ask.into(), fetch, alone: false, leave_by: f64::INFINITY, cause: AttemptCause::First }
 }
 
-fn reply(id: &str, word: &str) -> Vec<u8> {
+fn reply(id: &str, status: &str) -> Vec<u8> {
     let fields = b"tell=fetched_root,took=9.5,meter=util:0.61;x1:nan";
-    resp::frame(&[id.as_bytes(), word.as_bytes(), fields, b"bytes\r\n"])
+    resp::frame(&[id.as_bytes(), status.as_bytes(), fields, b"bytes\r\n"])
 }
 
 #[test]
@@ -525,8 +525,8 @@
     // Byte by byte.
     let mut received = Vec::new();
     for byte in reply("a", "DONE") {
-        let (one, fault) = pool.receive(9.0, key, &[byte]);
-        assert_eq!(fault, None);
+        let (one, error) = pool.receive(9.0, key, &[byte]);
+        assert_eq!(error, None);
         received.extend(one);
     }
     let [EndpointEvent::Answer(5, answer)] = &received[..] else { panic!("{received:?}") };
@@ -547,7 +547,7 @@
     Stop { which: usize },
     Up { which: usize },
     Write { which: usize, most: usize },
-    Answer { which: usize, word: usize },
+    Answer { which: usize, status: usize },
     Down { which: usize },
     Wait,
 }
@@ -560,7 +560,7 @@
             4 => Self::Stop { which },
             5 | 6 => Self::Up { which },
             7 | 8 => Self::Write { which, most: usize::arbitrary(g) % 200 },
-            9 => Self::Answer { which, word: usize::arbitrary(g) % 6 },
+            9 => Self::Answer { which, status: usize::arbitrary(g) % 6 },
             10 => Self::Down { which },
             _ => Self::Wait,
         }
@@ -574,7 +574,7 @@
         // The model: outstanding attempts with their id and connection, their progress, and what each
         // connection has written.
         let mut out: BTreeMap<u64, (String, u64)> = BTreeMap::new();
-        let mut come: BTreeMap<u64, Progress> = BTreeMap::new();
+        let mut progress_of: BTreeMap<u64, Progress> = BTreeMap::new();
         let mut wrote: BTreeMap<u64, usize> = BTreeMap::new();
         let mut next = 0;
         for step in steps {
@@ -610,28 +610,28 @@
                     if let Some((attempt, progress)) = pool.wrote(now, key, bytes.len()) {
                         assert!(progress >= Progress::PartlyWritten);
                         assert_eq!(out[&attempt].1, key, "no given-up attempt starts to be written");
-                        assert!(come.insert(attempt, progress) <= Some(progress));
+                        assert!(progress_of.insert(attempt, progress) <= Some(progress));
                     }
                 }
-                Step::Answer { which, word } => {
+                Step::Answer { which, status } => {
                     let Some(attempt) = out.keys().nth(which % out.len().max(1)).copied() else { continue };
                     let (id, key) = out[&attempt].clone();
-                    let word = ["DONE", "KEEP", "LACK", "WAIT", "BROKE", "HUH"][word];
-                    let (received, fault) = pool.receive(now, key, &reply(&id, word));
-                    if word == "HUH" && come.get(&attempt) == Some(&Progress::WrittenWhole) {
+                    let status = ["DONE", "KEEP", "LACK", "WAIT", "BROKE", "HUH"][status];
+                    let (received, error) = pool.receive(now, key, &reply(&id, status));
+                    if status == "HUH" && progress_of.get(&attempt) == Some(&Progress::WrittenWhole) {
                         // An unreadable answer ends a connection; the model goes on with it here.
-                        assert!(fault.is_some() && received.is_empty());
+                        assert!(error.is_some() && received.is_empty());
                         continue;
                     }
-                    assert_eq!(fault, None);
+                    assert_eq!(error, None);
                     match &received[..] {
                         [EndpointEvent::Answer(of, _)] if *of == attempt => {
-                            assert_eq!(come.get(&attempt), Some(&Progress::WrittenWhole));
+                            assert_eq!(progress_of.get(&attempt), Some(&Progress::WrittenWhole));
                             out.remove(&attempt);
                         }
                         // Only a completely written request can be answered.
                         [EndpointEvent::Unknown | EndpointEvent::Late] => {
-                            assert!(come.get(&attempt) != Some(&Progress::WrittenWhole))
+                            assert!(progress_of.get(&attempt) != Some(&Progress::WrittenWhole))
                         }
                         other => panic!("{other:?}"),
                     }
@@ -644,7 +644,10 @@
                     for (attempt, progress) in ended.lost {
                         let (_, on) = out.remove(&attempt).expect("the attempt is outstanding");
                         assert_eq!(on, key);
-                        assert_eq!(progress, come.get(&attempt).copied().unwrap_or(Progress::NotConnected));
+                        assert_eq!(
+                            progress,
+                            progress_of.get(&attempt).copied().unwrap_or(Progress::NotConnected)
+                        );
                     }
                     let moved: Vec<u64> =
                         out.iter().filter(|(_, (_, on))| *on == key).map(|(at, _)| *at).collect();
@@ -755,11 +758,11 @@
         pool.send(0.0, attempt, &machine, &call(&format!("id-{attempt}"))).expect("room");
     }
     assert_eq!(pool.count(), 8, "a bounded number; further ones are dialed only if the others are crowded");
-    let own: Vec<u64> = (1..=20).filter(|attempt| pool.connection_of(*attempt) == Some(first)).collect();
+    let carried: Vec<u64> = (1..=20).filter(|attempt| pool.connection_of(*attempt) == Some(first)).collect();
     let ended = pool.connection_closed(1.0, first, None);
-    let carriers: BTreeSet<u64> = own.iter().filter_map(|attempt| pool.connection_of(*attempt)).collect();
+    let carriers: BTreeSet<u64> = carried.iter().filter_map(|attempt| pool.connection_of(*attempt)).collect();
     assert_eq!(
-        (ended.lost, own.len()),
+        (ended.lost, carried.len()),
         (vec![], 3),
         "few attempts share a connection, as a malformed answer ends them all"
     );
@@ -777,9 +780,9 @@
     };
     let mut pool = connection_pool();
     let key = written(&mut pool, 1, "a");
-    let whole = reply("a", "DONE");
+    let answer = reply("a", "DONE");
     // Without the bound, all attempts on the connection would wait until their timeout.
-    pool.receive(100.0, key, &whole[..20]);
+    pool.receive(100.0, key, &answer[..20]);
     assert_eq!(pool.expired(350.0), vec![]);
     assert_eq!(pool.expired(450.0), [(key, EndpointClose::Stalled)]);
     assert_eq!(
@@ -790,10 +793,10 @@
     // An answer that arrives byte by byte never pauses, but must be complete within a limit; consecutive
     // complete answers may go on for longer.
     let (dripping, consecutive) = (written(&mut pool, 2, "a"), written(&mut pool, 3, "b"));
-    for (at, byte) in whole.iter().enumerate().take(20) {
+    for (at, byte) in answer.iter().enumerate().take(20) {
         let now = 100.0 * at as Millis;
         pool.receive(now, dripping, &[*byte]);
-        pool.receive(now, consecutive, &[&whole[if at == 0 { 0 } else { 5 }..], &whole[..5]].concat());
+        pool.receive(now, consecutive, &[&answer[if at == 0 { 0 } else { 5 }..], &answer[..5]].concat());
         let over = if now < 1000.0 { vec![] } else { vec![(dripping, EndpointClose::Stalled)] };
         assert_eq!(pool.expired(now), over, "at {now}");
     }
@@ -810,8 +813,8 @@
     .enumerate()
     {
         let key = written(&mut pool, 10 + at as u64, "a");
-        let (received, fault) = pool.receive(0.0, key, &malformed);
-        assert!(received.is_empty() && fault.is_some(), "{received:?}");
+        let (received, error) = pool.receive(0.0, key, &malformed);
+        assert!(received.is_empty() && error.is_some(), "{received:?}");
         pool.connection_closed(0.0, key, None);
     }
 }
--- a/tests/discovery.rs
+++ b/tests/discovery.rs
@@ -18,7 +18,7 @@
 }
 
 fn revisions(response: Result<Option<PollResponse>, String>) -> Vec<u64> {
-    response.expect("readable").expect("whole").events.iter().map(|event| event.rev).collect()
+    response.expect("readable").expect("complete").events.iter().map(|event| event.rev).collect()
 }
 
 const POOL: &str = r#"{"rev":41,"pool":{"index":7,"snapshot":true,"endpoints":[{"name":"s-1","address":
@@ -36,14 +36,14 @@
     );
     for bytes in [plain, chunked.into_bytes()] {
         let mut client = DiscoveryClient::new(3, 1);
-        let asked = client.poll(0.0, ([127, 0, 0, 1], 9092).into());
-        assert!(asked.starts_with(b"GET /board/poll?watch=3&linger="));
+        let request = client.poll(0.0, ([127, 0, 0, 1], 9092).into());
+        assert!(request.starts_with(b"GET /board/poll?watch=3&linger="));
         let mut response = None;
         for byte in &bytes {
             assert!(response.is_none(), "not before the response is complete");
             response = response.or(client.feed(0.0, &[*byte], false).expect("readable"));
         }
-        let response = response.expect("whole").events;
+        let response = response.expect("complete").events;
         let Some(Announcement::Pool { snapshot: true, machines }) = &response[0].announcement else {
             panic!("{response:?}")
         };
@@ -72,8 +72,8 @@
     assert_eq!(revisions(feed(&[purge(43), purge(44)])), [43, 44]);
     // If the gap persists, everything is requested anew.
     (0..4).for_each(|_| assert!(feed(&[purge(50)]).is_err()));
-    let asked = client.poll(0.0, address);
-    assert!(asked.starts_with(b"GET /board/poll?watch=0&"));
+    let request = client.poll(0.0, address);
+    assert!(request.starts_with(b"GET /board/poll?watch=0&"));
 }
 
 #[test]
@@ -84,8 +84,8 @@
     for bad in
         ["HTTP/1.1 500 No\r\n\r\n", "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\n{]}!", "nonsense\r\n\r\n"]
     {
-        let asked = client.poll(1000.0, address);
-        assert!(asked.starts_with(b"GET /board/poll?watch=5&"));
+        let request = client.poll(1000.0, address);
+        assert!(request.starts_with(b"GET /board/poll?watch=5&"));
         assert!(client.feed(1000.0, bad.as_bytes(), false).is_err(), "{bad}");
         client.poll_failed(1000.0);
         waits.push(client.next_poll_at - 1000.0);
@@ -116,21 +116,21 @@
 #[test]
 fn hundreds_of_routers_that_fail_together_poll_at_different_times() {
     // The service refuses all polls for 8 s, starting at the same moment for all routers.
-    let mut calls: Vec<f64> = Vec::new();
+    let mut polls: Vec<f64> = Vec::new();
     for seed in 0..300 {
         let mut client = DiscoveryClient::new(5, seed);
         client.poll_failed(0.0);
         while client.next_poll_at < 8000.0 {
             let now = client.next_poll_at;
-            calls.push(now);
+            polls.push(now);
             client.poll(now, ([127, 0, 0, 1], 9092).into());
             client.poll_failed(now);
         }
     }
-    let most = (20..80).map(|at| f64::from(at) * 100.0);
-    let most = most.map(|from| calls.iter().filter(|at| (from..from + 100.0).contains(*at)).count()).max();
-    assert!(calls.len() < 300 * 40, "bounded: {}", calls.len());
-    assert!(most < Some(130), "polls within any 100 ms, not all at once: {most:?}");
+    let max = (20..80).map(|at| f64::from(at) * 100.0);
+    let max = max.map(|from| polls.iter().filter(|at| (from..from + 100.0).contains(*at)).count()).max();
+    assert!(polls.len() < 300 * 40, "bounded: {}", polls.len());
+    assert!(max < Some(130), "polls within any 100 ms, not all at once: {max:?}");
     let mut moved: Vec<u64> = (0..300)
         .map(|seed| {
             let mut client = DiscoveryClient::new(5, seed);
@@ -158,7 +158,7 @@
     let first = POOL.replace("\"rev\":41", "\"rev\":1");
     let all =
         [first, change(2, "s-1", "left"), purge(3), change(4, "s-2", "leaving"), change(5, "s-1", "active")];
-    let response = client.feed(0.0, &answer(&events(&all)), false).expect("readable").expect("whole");
+    let response = client.feed(0.0, &answer(&events(&all)), false).expect("readable").expect("complete");
     assert_eq!(response.events.len(), 2, "a snapshot and a purge: {response:?}");
     let Some(Announcement::Pool { snapshot: true, machines }) = &response.events[0].announcement else {
         panic!("{response:?}")
@@ -169,7 +169,7 @@
     // Later changes are returned one by one, and an empty snapshot removes all machines.
     let empty = r#"{"rev":7,"pool":{"snapshot":true,"endpoints":[]}}"#.to_owned();
     let response = client.feed(0.0, &answer(&events(&[change(6, "s-3", "active"), empty])), false);
-    let response = response.expect("readable").expect("whole").events;
+    let response = response.expect("readable").expect("complete").events;
     assert_eq!(
         (response.len(), &response[1].announcement),
         (2, &Some(Announcement::Pool { snapshot: true, machines: vec![] }))
@@ -190,7 +190,7 @@
     ];
     let mut bytes = answer(&events(&list));
     bytes.push(b'H');
-    let response = client.feed(0.0, &bytes, false).expect("readable").expect("whole");
+    let response = client.feed(0.0, &bytes, false).expect("readable").expect("complete");
     assert!(response.unexpected_data);
     assert_eq!(response.problems.len(), 4, "a bounded number: {:?}", response.problems);
     let Some(Announcement::Pool { snapshot: true, machines }) = &response.events[0].announcement else {
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -145,8 +145,8 @@
 struct Checker {
     settings: Settings,
     now: Millis,
-    tried: BTreeMap<AttemptKey, AttemptState>,
-    asked: BTreeMap<u64, RequestState>,
+    attempts: BTreeMap<AttemptKey, AttemptState>,
+    requests: BTreeMap<u64, RequestState>,
     phases: BTreeMap<String, Phase>,
     purges: Vec<(Option<String>, u64, Millis)>,
     broken: Vec<&'static str>,
@@ -160,21 +160,21 @@
     }
 
     fn of(&self, request: u64) -> Vec<AttemptState> {
-        self.tried.values().filter(|tried| tried.request == request).cloned().collect()
+        self.attempts.values().filter(|tried| tried.request == request).cloned().collect()
     }
 
     fn sent(&mut self, attempt: AttemptKey, client: u64, call: &Call) {
         let (fetch, now) = (&call.fetch, self.now);
-        let Some(asked) = self.asked.get(&client) else {
+        let Some(request) = self.requests.get(&client) else {
             return self.require("sent for a finished request", false);
         };
-        let class = self.settings.classes[asked.class].clone();
+        let class = self.settings.classes[request.class].clone();
         let place = |name: &str| ENDPOINTS.iter().find(|end| end.0 == name).copied().expect("listed");
         let (_, kind, zone) = place(fetch.cache.as_str());
         let source = (fetch.source != fetch.cache).then(|| place(fetch.source.as_str()));
         let purge = |(object, group, _): &&(Option<String>, u64, Millis)| match object {
-            Some(object) => *object == asked.object,
-            None => *group == asked.group,
+            Some(object) => *object == request.object,
+            None => *group == request.group,
         };
         let purged = self.purges.iter().filter(purge).map(|(.., at)| *at).reduce(f64::max);
         let (siblings, may_bypass) = (self.settings.siblings, self.settings.bypass_allowed);
@@ -223,13 +223,13 @@
             never_ran: false,
             ended_at: None,
         };
-        self.tried.insert(attempt, tried);
+        self.attempts.insert(attempt, tried);
     }
 
     /// Records that an attempt's bytes are written now.
     fn written(&mut self, attempt: AttemptKey) {
-        let tried = self.tried[&attempt].clone();
-        let class = self.settings.classes[self.asked[&tried.request].class].repeat;
+        let tried = self.attempts[&attempt].clone();
+        let class = self.settings.classes[self.requests[&tried.request].class].repeat;
         let first = self
             .of(tried.request)
             .iter()
@@ -239,16 +239,16 @@
         if let (Repeat::Dedup { window_ms, .. }, Some(first)) = (class, first) {
             self.require("window", self.now <= first + window_ms + SLACK_MS);
         }
-        self.tried.entry(attempt).and_modify(|tried| tried.written = Some(self.now));
+        self.attempts.entry(attempt).and_modify(|tried| tried.written = Some(self.now));
     }
 
     fn answered(&mut self, client: u64, reply: &Reply) {
-        let Some(asked) = self.asked.remove(&client) else {
+        let Some(request) = self.requests.remove(&client) else {
             return self.require("answered twice, or without a request", false);
         };
-        let class = &self.settings.classes[asked.class];
+        let class = &self.settings.classes[request.class];
         let (repeat, limits) = (class.repeat, self.settings.limits.clone());
-        self.require("in time", self.now <= asked.deadline + SLACK_MS);
+        self.require("in time", self.now <= request.deadline + SLACK_MS);
         if let Reply::Refused { hold_off_ms, .. } = reply {
             let free = matches!(repeat, Repeat::Retryable | Repeat::Dedup { scope: DedupScope::All, .. });
             let ran = self.of(client).iter().any(|tried| tried.written.is_some() && !tried.never_ran);
@@ -267,8 +267,8 @@
     let mut check = Checker {
         settings: drawn.settings.clone(),
         now: START_MS,
-        tried: BTreeMap::new(),
-        asked: BTreeMap::new(),
+        attempts: BTreeMap::new(),
+        requests: BTreeMap::new(),
         phases: BTreeMap::new(),
         purges: Vec::new(),
         broken: Vec::new(),
@@ -291,8 +291,12 @@
             *rev += 1;
             Input::Notice { notice: DiscoveryEvent { rev: *rev, announcement: Some(announcement) }, unix }
         };
-        let out: Vec<AttemptKey> =
-            check.tried.iter().filter(|(_, tried)| tried.ended_at.is_none()).map(|(key, _)| *key).collect();
+        let out: Vec<AttemptKey> = check
+            .attempts
+            .iter()
+            .filter(|(_, tried)| tried.ended_at.is_none())
+            .map(|(key, _)| *key)
+            .collect();
         let one = (!out.is_empty()).then(|| out[random(out.len().max(1) as u64) as usize]);
         match (random(20), one) {
             (0..=4, _) => {
@@ -302,7 +306,9 @@
                 let timeout_ms = settings.deadline_ms * (0.5 + random(50) as f64 / 100.0);
                 let (object, group) = (format!("o{}", random(6)), random(3));
                 let deadline = check.now + timeout_ms;
-                check.asked.insert(serial, RequestState { class, group, object: object.clone(), deadline });
+                check
+                    .requests
+                    .insert(serial, RequestState { class, group, object: object.clone(), deadline });
                 let ask = Ask {
                     id: format!("{serial:016x}"),
                     class: settings.name.clone(),
@@ -315,10 +321,10 @@
                 let client = Client { conn: 1, serial };
                 inputs.push(Input::Asked { client, ask: Ok(ask), age_ms: 0.0 });
             }
-            (5..=9, Some(attempt)) if check.tried[&attempt].written.is_none() => {
-                if check.tried[&attempt].leave_by < check.now {
+            (5..=9, Some(attempt)) if check.attempts[&attempt].written.is_none() => {
+                if check.attempts[&attempt].leave_by < check.now {
                     inputs.push(Input::Ended { attempt, end: End::Withheld(Withheld::TooLate) });
-                    check.tried.entry(attempt).and_modify(|tried| {
+                    check.attempts.entry(attempt).and_modify(|tried| {
                         (tried.never_ran, tried.ended_at) = (true, Some(check.now));
                     });
                 } else {
@@ -326,14 +332,14 @@
                     inputs.push(Input::Progressed { attempt, progress: Progress::WrittenWhole });
                 }
             }
-            (5..=12, Some(attempt)) if check.tried[&attempt].written.is_some() => {
+            (5..=12, Some(attempt)) if check.attempts[&attempt].written.is_some() => {
                 let outcome = [Outcome::Ok, Outcome::Ok, Outcome::Miss, Outcome::Full, Outcome::Error]
                     [random(5) as usize];
                 let never_ran = matches!(outcome, Outcome::Miss | Outcome::Full);
                 // The answer ends the attempt: nothing of it is outstanding.
                 let ended_at = check.now - SLACK_MS;
                 check
-                    .tried
+                    .attempts
                     .entry(attempt)
                     .and_modify(|tried| (tried.never_ran, tried.ended_at) = (never_ran, Some(ended_at)));
                 let (note, report) = ((random(3) == 0).then_some(Note::Filled), LoadReport::default());
@@ -348,16 +354,17 @@
                 inputs.push(Input::Ended { attempt, end: End::Answer(answer) });
             }
             (13, Some(attempt)) => {
-                let written = check.tried[&attempt].written.is_some();
+                let written = check.attempts[&attempt].written.is_some();
                 let progress = if written { Progress::WrittenWhole } else { Progress::NotConnected };
-                check.tried.entry(attempt).and_modify(|tried| {
+                check.attempts.entry(attempt).and_modify(|tried| {
                     (tried.never_ran, tried.ended_at) = (!written, Some(check.now));
                 });
                 inputs.push(Input::Ended { attempt, end: End::Lost(progress) });
             }
-            (14, _) if !check.asked.is_empty() => {
-                let serial = *check.asked.keys().nth(random(check.asked.len() as u64) as usize).expect("one");
-                check.asked.remove(&serial);
+            (14, _) if !check.requests.is_empty() => {
+                let serial =
+                    *check.requests.keys().nth(random(check.requests.len() as u64) as usize).expect("one");
+                check.requests.remove(&serial);
                 inputs.push(Input::Aborted { client: Client { conn: 1, serial } });
             }
             (15, _) => {
@@ -390,7 +397,7 @@
                     }
                     Effect::Stop { attempt } => {
                         let now = check.now;
-                        check.tried.entry(attempt).and_modify(|tried| {
+                        check.attempts.entry(attempt).and_modify(|tried| {
                             tried.never_ran |= tried.written.is_none();
                             tried.ended_at = tried.ended_at.or(Some(now));
                         });
@@ -401,7 +408,7 @@
             }
         }
         let now = check.now;
-        let overdue = check.asked.values().any(|asked| now > asked.deadline + SLACK_MS);
+        let overdue = check.requests.values().any(|request| now > request.deadline + SLACK_MS);
         check.require("in time", !overdue);
     }
     check.broken
