--- a/src/fleet/epochs/ballots.rs
+++ b/src/fleet/epochs/ballots.rs
@@ -1,309 +1,363 @@
-//! The rolls that are called: who is in each, who has signed it, and which of them travel on.
+//! Ballots: their members, who has signed them, and which of them a datagram carries.
 //!
-//! A roll of kind [`Heard`](Kind::Heard) binds whoever signs it: it has heard words of all in it, of these lives, from the
-//! roll's epoch or later. One of kind [`GivenUp`](Kind::GivenUp) binds for good: who signs it answers none of these lives again.
+//! A signature on a ballot of kind [`Liveness`](BallotKind::Liveness) states that the signer has heard of all
+//! members, in these incarnations, in the ballot's epoch or later. A signature on one of kind
+//! [`Failure`](BallotKind::Failure) is irrevocable: the signer never confirms these incarnations again.
 
-use super::encoding::Form;
-use super::incarnations::Book;
-use super::wire::{self, Kind, Mark, Told};
+use super::encoding::EncodedSet;
+use super::incarnations::IncarnationTable;
+use super::wire::{self, BallotKind, BallotMessage, IncarnationStatus};
 use fixedbitset::FixedBitSet;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use twox_hash::XxHash64;
 
-/// Epochs for which a roll is kept, and in which it counts.
-pub const KEPT: u32 = 10;
-/// Of the rolls of one epoch and kind, the first by rank are kept.
-const BEST: usize = 2;
-/// Rolls of both kinds, at most.
-const MOST: usize = 2 * BEST * KEPT as usize;
+/// Epochs for which a ballot is kept and counts.
+pub const KEPT_EPOCHS: u32 = 10;
+/// Ballots that are kept for each epoch and kind: the first by rank.
+const KEPT_PER_EPOCH: usize = 2;
+/// Maximum number of ballots of both kinds.
+const MAX_BALLOTS: usize = 2 * KEPT_PER_EPOCH * KEPT_EPOCHS as usize;
 
-/// A roll.
+/// A ballot.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Roll {
-    /// Words of all in it are from this epoch or later.
-    pub since: u32,
-    /// Of the starts of all in it: see [`Book::digest`].
-    pub digest: u64,
-    /// Which terms are given up.
-    pub terms: Terms,
-    /// Who is in it.
-    pub set: FixedBitSet,
-    /// Of whom some that signed could not say it. It travels with their names and only grows with them, so that for the rest
-    /// each name holds.
-    pub without: FixedBitSet,
-    /// Who has signed it.
-    pub signed: FixedBitSet,
+pub struct Ballot {
+    /// All members have been heard of in this epoch or later.
+    pub since_epoch: u32,
+    /// A digest of the start numbers of the members: see [`IncarnationTable::start_digest`].
+    pub start_digest: u64,
+    /// The terms that a failure ballot votes failed.
+    pub terms: BallotTerms,
+    /// The routers that the ballot is about.
+    pub members: FixedBitSet,
+    /// Members for which some signers could not confirm it. They travel with the signatures and only grow
+    /// with them, so that every signature holds for all other members.
+    pub exceptions: FixedBitSet,
+    /// The routers that have signed it.
+    pub signers: FixedBitSet,
 }
 
-/// The terms of the lives in a roll: the same for most of them.
+/// The terms of the members of a ballot: mostly the same term.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Terms {
+pub struct BallotTerms {
     usual: u32,
     others: Vec<(u16, u32)>,
 }
 
-impl Terms {
-    /// Those that are known of all in a set.
-    fn of(set: &FixedBitSet, book: &Book) -> Self {
+impl BallotTerms {
+    /// Collects the known terms of the members.
+    fn of(members: &FixedBitSet, table: &IncarnationTable) -> Self {
         let mut counts: BTreeMap<u32, usize> = BTreeMap::new();
-        set.ones().for_each(|of| *counts.entry(book.life(of).term).or_default() += 1);
+        members.ones().for_each(|router| *counts.entry(table.get(router).term).or_default() += 1);
         let usual = counts.into_iter().max_by_key(|(_, count)| *count).map_or(0, |(term, _)| term);
-        let others = set.ones().map(|of| (of as u16, book.life(of).term)).filter(|(_, term)| *term != usual);
+        let others = members
+            .ones()
+            .map(|router| (router as u16, table.get(router).term))
+            .filter(|(_, term)| *term != usual);
         Self { usual, others: others.collect() }
     }
 
-    /// One's.
-    pub fn term(&self, of: usize) -> u32 {
-        let other = self.others.binary_search_by_key(&of, |(at, _)| usize::from(*at));
-        other.map_or(self.usual, |at| self.others[at].1)
+    /// Returns the term of a member.
+    pub fn term(&self, router: usize) -> u32 {
+        let other = self.others.binary_search_by_key(&router, |(index, _)| usize::from(*index));
+        other.map_or(self.usual, |index| self.others[index].1)
     }
 }
 
-/// Which roll: its kind, the epoch in which it was called, its caller's rank in that epoch, and its caller.
-pub type Key = (Kind, u32, u32, u16);
+/// Identifies a ballot: its kind, the epoch in which it was opened, the rank of the router that opened it in
+/// that epoch, and that router.
+pub type BallotKey = (BallotKind, u32, u32, u16);
 
-/// A roll and which it is.
-type Named<'a> = (&'a Key, &'a Roll);
+/// A ballot with its key.
+type KeyedBallot<'a> = (&'a BallotKey, &'a Ballot);
 
-/// A router's rank among those who may call a roll in an epoch: the same at all, another one in each epoch.
-pub fn rank(epoch: u32, of: usize) -> u32 {
-    let bytes = ((u64::from(epoch) << 16) | of as u64).to_le_bytes();
+/// Returns a router's rank among those that may open a ballot in an epoch: the same at all routers, and
+/// different in each epoch.
+pub fn epoch_rank(epoch: u32, router: usize) -> u32 {
+    let bytes = ((u64::from(epoch) << 16) | router as u64).to_le_bytes();
     XxHash64::oneshot(11, &bytes) as u32
 }
 
-/// All rolls that are known, bounded by [`KEPT`] epochs and the best two of each.
+/// All known ballots, bounded by [`KEPT_EPOCHS`] epochs and [`KEPT_PER_EPOCH`] for each.
 #[derive(Clone, Debug, Default)]
-pub struct Calls {
-    rolls: BTreeMap<Key, Roll>,
+pub struct Ballots {
+    ballots: BTreeMap<BallotKey, Ballot>,
 }
 
-impl Calls {
-    /// Rolls that have ended are let go.
-    pub fn entered(&mut self, epoch: u32) {
-        self.rolls.retain(|(_, of, ..), _| of + KEPT > epoch);
+impl Ballots {
+    /// Removes the ballots that have expired when `epoch` begins.
+    pub fn remove_expired(&mut self, epoch: u32) {
+        self.ballots.retain(|(_, opened_in, ..), _| opened_in + KEPT_EPOCHS > epoch);
     }
 
-    /// A roll that this router calls; it signs it as any other.
-    pub fn call(&mut self, kind: Kind, [epoch, since]: [u32; 2], by: usize, set: FixedBitSet, book: &Book) {
-        let digest = book.digest(&set);
-        let terms = if kind == Kind::GivenUp { Terms::of(&set, book) } else { Terms::default() };
-        let signed = FixedBitSet::with_capacity(set.len());
-        let without = signed.clone();
-        self.keep(
-            (kind, epoch, rank(epoch, by), by as u16),
-            Roll { since, digest, terms, set, without, signed },
+    /// Opens a ballot. Its opener signs it like any other router.
+    pub fn open(
+        &mut self,
+        kind: BallotKind,
+        [epoch, since_epoch]: [u32; 2],
+        opened_by: usize,
+        members: FixedBitSet,
+        table: &IncarnationTable,
+    ) {
+        let start_digest = table.start_digest(&members);
+        let terms = if kind == BallotKind::Failure {
+            BallotTerms::of(&members, table)
+        } else {
+            BallotTerms::default()
+        };
+        let signers = FixedBitSet::with_capacity(members.len());
+        let exceptions = signers.clone();
+        self.insert(
+            (kind, epoch, epoch_rank(epoch, opened_by), opened_by as u16),
+            Ballot { since_epoch, start_digest, terms, members, exceptions, signers },
         );
     }
 
-    /// Of one epoch and kind the best are kept; true if this is one of them.
-    fn keep(&mut self, key: Key, roll: Roll) -> bool {
+    /// Keeps a ballot if it is one of the first by rank of its epoch and kind; returns whether it is.
+    fn insert(&mut self, key: BallotKey, ballot: Ballot) -> bool {
         let (kind, epoch, ..) = key;
-        let of = (kind, epoch, 0, 0)..=(kind, epoch, u32::MAX, u16::MAX);
-        if self.rolls.range(of.clone()).count() >= BEST {
-            let Some(worst) = self.rolls.range(of).next_back().map(|(key, _)| *key) else { return false };
+        let keys = (kind, epoch, 0, 0)..=(kind, epoch, u32::MAX, u16::MAX);
+        if self.ballots.range(keys.clone()).count() >= KEPT_PER_EPOCH {
+            let Some(worst) = self.ballots.range(keys).next_back().map(|(key, _)| *key) else { return false };
             if worst <= key {
                 return false;
             }
-            self.rolls.remove(&worst);
+            self.ballots.remove(&worst);
         }
-        if self.rolls.len() >= MOST {
+        if self.ballots.len() >= MAX_BALLOTS {
             return false;
         }
-        self.rolls.insert(key, roll);
+        self.ballots.insert(key, ballot);
         true
     }
 
-    /// A roll that another router tells of, in a fleet of `all` in this epoch; its key if it was taken.
-    pub fn told(&mut self, told: &Told, all: usize, epoch: u32) -> Option<Key> {
-        if told.epoch > epoch
-            || told.epoch + KEPT <= epoch
-            || told.since > told.epoch
-            || usize::from(told.by) >= all
+    /// Merges a ballot received in epoch `epoch`, and returns its key if it was accepted.
+    pub fn receive(&mut self, message: &BallotMessage, router_count: usize, epoch: u32) -> Option<BallotKey> {
+        if message.epoch > epoch
+            || message.epoch + KEPT_EPOCHS <= epoch
+            || message.since_epoch > message.epoch
+            || usize::from(message.opened_by) >= router_count
         {
             return None;
         }
-        let (set, signed, without) = (told.set.read(all)?, told.signed.read(all)?, told.without.read(all)?);
-        let key = (told.kind, told.epoch, rank(told.epoch, usize::from(told.by)), told.by);
-        match self.rolls.get_mut(&key) {
-            // A caller that has started anew may have called another one by the same name: the first one stays.
+        let (members, signers, exceptions) = (
+            message.members.decode(router_count)?,
+            message.signers.decode(router_count)?,
+            message.exceptions.decode(router_count)?,
+        );
+        let key = (
+            message.kind,
+            message.epoch,
+            epoch_rank(message.epoch, usize::from(message.opened_by)),
+            message.opened_by,
+        );
+        match self.ballots.get_mut(&key) {
+            // A router that has restarted may have opened another ballot with the same key: the first one is
+            // kept.
             Some(known)
-                if (known.since, known.digest, &known.terms) == (told.since, told.digest, &told.terms)
-                    && known.set == set =>
+                if (known.since_epoch, known.start_digest, &known.terms)
+                    == (message.since_epoch, message.start_digest, &message.terms)
+                    && known.members == members =>
             {
-                known.signed.union_with(&signed);
-                known.without.union_with(&without);
+                known.signers.union_with(&signers);
+                known.exceptions.union_with(&exceptions);
             }
             Some(_) => return None,
             None => {
-                let (since, digest, terms) = (told.since, told.digest, told.terms.clone());
-                let roll = Roll { since, digest, terms, set, without, signed };
-                return self.keep(key, roll).then_some(key);
+                let (since_epoch, start_digest, terms) =
+                    (message.since_epoch, message.start_digest, message.terms.clone());
+                let ballot = Ballot { since_epoch, start_digest, terms, members, exceptions, signers };
+                return self.insert(key, ballot).then_some(key);
             }
         }
         Some(key)
     }
 
-    /// A roll.
-    pub fn get(&self, key: &Key) -> Option<&Roll> {
-        self.rolls.get(key)
+    /// Returns a ballot.
+    pub fn get(&self, key: &BallotKey) -> Option<&Ballot> {
+        self.ballots.get(key)
     }
 
-    /// Signs a roll, but for what it says of these.
-    pub fn sign(&mut self, key: &Key, by: usize, without: &FixedBitSet) {
-        if let Some(roll) = self.rolls.get_mut(key) {
-            roll.signed.insert(by);
-            roll.without.union_with(without);
+    /// Signs a ballot, except for what it says of `exceptions`.
+    pub fn sign(&mut self, key: &BallotKey, signer: usize, exceptions: &FixedBitSet) {
+        if let Some(ballot) = self.ballots.get_mut(key) {
+            ballot.signers.insert(signer);
+            ballot.exceptions.union_with(exceptions);
         }
     }
 
-    /// All of a kind, the latest first, the best of an epoch first.
-    pub fn of(&self, kind: Kind) -> impl Iterator<Item = (&Key, &Roll)> {
-        let of = (kind, 0, 0, 0)..=(kind, u32::MAX, u32::MAX, u16::MAX);
-        let mut all: Vec<(&Key, &Roll)> = self.rolls.range(of).collect();
+    /// Iterates over the ballots of a kind, latest epoch first, within an epoch by rank.
+    pub fn of_kind(&self, kind: BallotKind) -> impl Iterator<Item = (&BallotKey, &Ballot)> {
+        let keys = (kind, 0, 0, 0)..=(kind, u32::MAX, u32::MAX, u16::MAX);
+        let mut all: Vec<(&BallotKey, &Ballot)> = self.ballots.range(keys).collect();
         all.sort_by_key(|((_, epoch, rank, _), _)| (std::cmp::Reverse(*epoch), *rank));
         all.into_iter()
     }
 
-    /// The best of each epoch, the latest first.
-    fn best(&self, kind: Kind) -> Vec<(&Key, &Roll)> {
-        let mut best: Vec<(&Key, &Roll)> = Vec::new();
-        for one in self.of(kind) {
-            if best.last().is_none_or(|(key, _)| key.1 != one.0 .1) {
-                best.push(one);
+    /// Returns the first ballot by rank of each epoch, latest epoch first.
+    fn best_per_epoch(&self, kind: BallotKind) -> Vec<(&BallotKey, &Ballot)> {
+        let mut best: Vec<(&BallotKey, &Ballot)> = Vec::new();
+        for ballot in self.of_kind(kind) {
+            if best.last().is_none_or(|(key, _)| key.1 != ballot.0 .1) {
+                best.push(ballot);
             }
         }
         best
     }
 
-    /// Whether it is time for another roll of who was heard: where words are slow the one before has the nets for a while. A
-    /// clerk calls the next as soon as that one has enough names; somebody else only where clerks have called none.
-    pub fn due(&self, epoch: u32, enough: usize, clerk: bool) -> bool {
-        let latest = self.of(Kind::Heard).next();
-        let gathered = |roll: &Roll| clerk && roll.signed.count_ones(..) >= enough;
-        latest.is_none_or(|(key, roll)| key.1 + WAITS <= epoch || gathered(roll))
+    /// Whether another liveness ballot is to be opened. Where information spreads slowly, the network is left
+    /// to the previous ballot for a while: a coordinator opens the next as soon as that one has enough
+    /// signatures, other routers only if coordinators have opened none.
+    pub fn liveness_due(&self, epoch: u32, enough: usize, coordinator: bool) -> bool {
+        let latest = self.of_kind(BallotKind::Liveness).next();
+        let has_enough_signers = |ballot: &Ballot| coordinator && ballot.signers.count_ones(..) >= enough;
+        latest.is_none_or(|(key, ballot)| key.1 + REOPEN_EPOCHS <= epoch || has_enough_signers(ballot))
     }
 
-    /// Whether one of a kind was called in that epoch or later.
-    pub fn called_since(&self, kind: Kind, epoch: u32) -> bool {
-        self.of(kind).next().is_some_and(|(key, _)| key.1 >= epoch)
+    /// Whether a ballot of a kind was opened in `epoch` or later.
+    pub fn opened_since(&self, kind: BallotKind, epoch: u32) -> bool {
+        self.of_kind(kind).next().is_some_and(|(key, _)| key.1 >= epoch)
     }
 
-    /// Whether a roll of all these was called not long before `epoch`: it still gathers names.
-    pub fn gathers(&self, kind: Kind, epoch: u32, set: &FixedBitSet) -> bool {
-        self.of(kind).any(|(key, roll)| key.1 + GATHERS >= epoch && set.is_subset(&roll.set))
+    /// Whether a ballot that lists all of `members` was opened shortly before `epoch` and still collects
+    /// signatures.
+    pub fn is_collecting(&self, kind: BallotKind, epoch: u32, members: &FixedBitSet) -> bool {
+        self.of_kind(kind)
+            .any(|(key, ballot)| key.1 + COLLECT_EPOCHS >= epoch && members.is_subset(&ballot.members))
     }
 
-    /// Of a kind those that lack some of so many names, the one with most of them first, and the latest that has them.
-    fn travelling(&self, kind: Kind, enough: usize) -> (Vec<Named<'_>>, Option<Named<'_>>) {
-        let names = |roll: &Roll| roll.signed.count_ones(..);
-        let (full, mut lacking): (Vec<_>, Vec<_>) =
-            self.best(kind).into_iter().partition(|(_, roll)| names(roll) >= enough);
-        let full = full.first().copied();
-        // Of who was heard an earlier roll than that says nothing new.
-        lacking.retain(|(key, _)| kind == Kind::GivenUp || full.is_none_or(|(of, _)| key.1 > of.1));
-        lacking.sort_by_key(|(key, roll)| (std::cmp::Reverse(names(roll)), std::cmp::Reverse(key.1)));
-        (lacking, full)
+    /// Returns the ballots of a kind with fewer than `enough` signatures, the one with the most first, and
+    /// the latest one that has enough.
+    fn incomplete_and_complete(
+        &self,
+        kind: BallotKind,
+        enough: usize,
+    ) -> (Vec<KeyedBallot<'_>>, Option<KeyedBallot<'_>>) {
+        let signer_count = |ballot: &Ballot| ballot.signers.count_ones(..);
+        let (complete, mut incomplete): (Vec<_>, Vec<_>) =
+            self.best_per_epoch(kind).into_iter().partition(|(_, ballot)| signer_count(ballot) >= enough);
+        let complete = complete.first().copied();
+        // A liveness ballot older than a complete one adds nothing.
+        incomplete.retain(|(key, _)| {
+            kind == BallotKind::Failure || complete.is_none_or(|(full_key, _)| key.1 > full_key.1)
+        });
+        incomplete
+            .sort_by_key(|(key, ballot)| (std::cmp::Reverse(signer_count(ballot)), std::cmp::Reverse(key.1)));
+        (incomplete, complete)
     }
 
-    /// What travels in one datagram, as far as `room` bytes go: of who was heard the latest roll, which is to be signed, and the
-    /// latest that has `enough` names, then those that still gather them; of who was given up first one of these by turns, the
-    /// one with most routers or the one with most names, then [some more](FURTHER), so that each gathers on all ways at once.
-    pub fn tell(&self, enough: [usize; 2], turn: usize, room: usize) -> Vec<Told> {
-        let (mut lacking, full) = self.travelling(Kind::Heard, enough[0]);
-        let latest =
-            lacking.iter().position(|(key, _)| Some(key.1) == lacking.iter().map(|(key, _)| key.1).max());
-        let latest = latest.map(|at| lacking.remove(at));
-        let (given_up, gone) = self.travelling(Kind::GivenUp, enough[1]);
-        let largest =
-            given_up.iter().max_by_key(|(key, roll)| (roll.set.count_ones(..), u32::MAX - key.1)).copied();
-        let others: Vec<Named<'_>> = [given_up.first().copied(), largest, gone]
+    /// Selects the ballots for one datagram, up to `room` bytes. Liveness ballots: the latest, which is to be
+    /// signed, the latest complete one (`enough` signatures), and some that still collect signatures. Failure
+    /// ballots: in rotation the complete one, the one with the most members or the one with the most
+    /// signatures, then up to [`EXTRA_FAILURE_BALLOTS`] others, so that several collect signatures at once.
+    pub fn select(&self, enough: [usize; 2], turn: usize, room: usize) -> Vec<BallotMessage> {
+        let (mut incomplete, complete) = self.incomplete_and_complete(BallotKind::Liveness, enough[0]);
+        let latest = incomplete
+            .iter()
+            .position(|(key, _)| Some(key.1) == incomplete.iter().map(|(key, _)| key.1).max());
+        let latest = latest.map(|index| incomplete.remove(index));
+        let (failure_ballots, complete_failure) =
+            self.incomplete_and_complete(BallotKind::Failure, enough[1]);
+        let largest = failure_ballots
+            .iter()
+            .max_by_key(|(key, ballot)| (ballot.members.count_ones(..), u32::MAX - key.1))
+            .copied();
+        let others: Vec<KeyedBallot<'_>> = [failure_ballots.first().copied(), largest, complete_failure]
             .into_iter()
             .flatten()
-            .chain(given_up.iter().copied())
+            .chain(failure_ballots.iter().copied())
             .collect();
-        let given_up = match turn % 4 {
-            0 => gone.or(largest),
+        let failure_ballots = match turn % 4 {
+            0 => complete_failure.or(largest),
             1 | 3 => largest,
-            _ => given_up.first().copied(),
+            _ => failure_ballots.first().copied(),
         };
-        let most = lacking.first().copied();
+        let most = incomplete.first().copied();
         let first = if turn.is_multiple_of(2) { [latest, most] } else { [most, latest] };
         let all = first
             .into_iter()
-            .chain([given_up.or(gone), full])
+            .chain([failure_ballots.or(complete_failure), complete])
             .flatten()
-            .chain(lacking.iter().skip(1).take(TOO).copied());
-        let mut out: Vec<Named<'_>> = all.collect();
-        let most = out.len() + FURTHER;
-        for one in others {
-            if out.len() < most && out.iter().all(|(key, _)| *key != one.0) {
-                out.push(one);
+            .chain(incomplete.iter().skip(1).take(EXTRA_LIVENESS_BALLOTS).copied());
+        let mut selected: Vec<KeyedBallot<'_>> = all.collect();
+        let most = selected.len() + EXTRA_FAILURE_BALLOTS;
+        for ballot in others {
+            if selected.len() < most && selected.iter().all(|(key, _)| *key != ballot.0) {
+                selected.push(ballot);
             }
         }
-        let told = |(key, roll): (&Key, &Roll)| Told {
+        let to_message = |(key, ballot): (&BallotKey, &Ballot)| BallotMessage {
             kind: key.0,
             epoch: key.1,
-            since: roll.since,
-            by: key.3,
-            digest: roll.digest,
-            terms: roll.terms.clone(),
-            set: Form::of(&roll.set),
-            without: Form::of(&roll.without),
-            signed: Form::of(&roll.signed),
+            since_epoch: ballot.since_epoch,
+            opened_by: key.3,
+            start_digest: ballot.start_digest,
+            terms: ballot.terms.clone(),
+            members: EncodedSet::of(&ballot.members),
+            exceptions: EncodedSet::of(&ballot.exceptions),
+            signers: EncodedSet::of(&ballot.signers),
         };
         let mut left = room;
-        let fits = |told: &Told| {
-            let rest = left.checked_sub(wire::size(told));
-            left = rest.unwrap_or(left);
-            rest.is_some()
+        let fits = |message: &BallotMessage| {
+            let remaining = left.checked_sub(wire::ballot_bytes(message));
+            left = remaining.unwrap_or(left);
+            remaining.is_some()
         };
-        out.into_iter().map(told).filter(fits).collect()
+        selected.into_iter().map(to_message).filter(fits).collect()
     }
 }
 
-/// Epochs in which a roll gathers names, before it is called anew.
-const GATHERS: u32 = 5;
+/// Epochs in which a ballot collects signatures before another one is opened for the same members.
+const COLLECT_EPOCHS: u32 = 5;
 
-/// Further rolls that gather names, where there is room.
-const TOO: usize = 2;
-/// Further rolls of who was given up in a datagram. More would take the room of lives, without which nobody can sign.
-const FURTHER: usize = 3;
-/// Epochs after which a roll is called though the one before lacks names.
-const WAITS: u32 = 2;
+/// Maximum number of further incomplete liveness ballots in a datagram, if there is room.
+const EXTRA_LIVENESS_BALLOTS: usize = 2;
+/// Maximum number of further failure ballots in a datagram. More would take the room of the incarnations,
+/// without which no router can sign.
+const EXTRA_FAILURE_BALLOTS: usize = 3;
+/// Epochs after which a liveness ballot is opened although the previous one lacks signatures.
+const REOPEN_EPOCHS: u32 = 2;
 
-/// Of whom a router can't say what a roll says, if it may sign it at all: it knows all the starts in it as the caller did. `waits`: it may soon be able to say more of those that it hasn't given up.
+/// Returns the members for which a router can't confirm a ballot, or `None` if it may not sign it. It may
+/// sign only if it knows the same starts of the members as the opener did. `may_wait`: it may soon be able to
+/// confirm more of the members that it has not voted failed.
 pub fn may_sign(
-    key: &Key,
-    roll: &Roll,
-    book: &Book,
-    gave_up: &FixedBitSet,
-    waits: bool,
+    key: &BallotKey,
+    ballot: &Ballot,
+    table: &IncarnationTable,
+    voted_failed: &FixedBitSet,
+    may_wait: bool,
 ) -> Option<FixedBitSet> {
-    if roll.digest != book.digest(&roll.set) {
+    if ballot.start_digest != table.start_digest(&ballot.members) {
         return None;
     }
-    let mut without = roll.set.clone();
+    let mut exceptions = ballot.members.clone();
     match key.0 {
-        Kind::Heard => without.intersect_with(gave_up),
-        Kind::GivenUp => {
-            let says = |of: &usize| gave_up.contains(*of) && book.life(*of).term == roll.terms.term(*of);
-            roll.set.ones().filter(says).for_each(|of| without.set(of, false));
-            let none = without.count_ones(..) == roll.set.count_ones(..);
-            if none || waits && without.count_ones(..) > 0 {
+        BallotKind::Liveness => exceptions.intersect_with(voted_failed),
+        BallotKind::Failure => {
+            let agrees = |router: &usize| {
+                voted_failed.contains(*router) && table.get(*router).term == ballot.terms.term(*router)
+            };
+            ballot.members.ones().filter(agrees).for_each(|router| exceptions.set(router, false));
+            let all_excepted = exceptions.count_ones(..) == ballot.members.count_ones(..);
+            if all_excepted || may_wait && exceptions.count_ones(..) > 0 {
                 return None;
             }
         }
     }
-    Some(without)
+    Some(exceptions)
 }
 
-/// Who is in a roll that begins now: heard of from its epoch on, by whoever nobody has given up.
-pub fn heard_since(epoch: u32, heard: &[Option<u32>], book: &Book) -> FixedBitSet {
-    let mut set = FixedBitSet::with_capacity(heard.len());
-    let well = |of: &usize| heard[*of].is_some_and(|at| at >= epoch) && book.life(*of).mark == Mark::Here;
-    (0..heard.len()).filter(well).for_each(|of| set.insert(of));
-    set
+/// Returns the members of a liveness ballot that is opened now: routers heard of in `epoch` or later whose
+/// incarnation no router has voted failed.
+pub fn reachable_since(epoch: u32, last_epochs: &[Option<u32>], table: &IncarnationTable) -> FixedBitSet {
+    let mut members = FixedBitSet::with_capacity(last_epochs.len());
+    let reachable = |router: &usize| {
+        last_epochs[*router].is_some_and(|heard_in| heard_in >= epoch)
+            && table.get(*router).status == IncarnationStatus::Present
+    };
+    (0..last_epochs.len()).filter(reachable).for_each(|router| members.insert(router));
+    members
 }
 
 #[cfg(test)]
--- a/src/fleet/epochs/encoding.rs
+++ b/src/fleet/epochs/encoding.rs
@@ -1,113 +1,120 @@
-//! Sets of routers by their places in the roster, as datagrams carry them: whichever form is shortest.
+//! Encodings for datagrams: sets of routers by their indexes in the roster, in whichever form is shortest,
+//! and the epoch lags of all routers.
 
 use fixedbitset::FixedBitSet;
 use serde::{Deserialize, Serialize};
 
-/// A set as it travels.
+/// An encoded set of routers.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Form {
-    /// These places.
+pub enum EncodedSet {
+    /// The indexes of the members.
     Only(Vec<u16>),
-    /// All but these.
+    /// The indexes of all that are not members.
     AllBut(Vec<u16>),
-    /// A bit a place.
+    /// One bit for each index.
     Bits(Vec<u8>),
 }
 
-impl Form {
-    /// The shortest form of a set.
+impl EncodedSet {
+    /// Encodes a set in its shortest form.
     pub fn of(set: &FixedBitSet) -> Self {
-        let (all, ones) = (set.len(), set.count_ones(..));
-        let few = all / 16;
-        let places = |those: &mut dyn Iterator<Item = usize>| those.map(|at| at as u16).collect();
+        let (router_count, ones) = (set.len(), set.count_ones(..));
+        let few = router_count / 16;
+        let encode_indexes =
+            |indexes: &mut dyn Iterator<Item = usize>| indexes.map(|index| index as u16).collect();
         if ones <= few {
-            Self::Only(places(&mut set.ones()))
-        } else if all - ones <= few {
-            Self::AllBut(places(&mut set.zeroes()))
+            Self::Only(encode_indexes(&mut set.ones()))
+        } else if router_count - ones <= few {
+            Self::AllBut(encode_indexes(&mut set.zeroes()))
         } else {
-            let mut bits = vec![0u8; all.div_ceil(8)];
-            set.ones().for_each(|at| bits[at / 8] |= 1 << (at % 8));
+            let mut bits = vec![0u8; router_count.div_ceil(8)];
+            set.ones().for_each(|index| bits[index / 8] |= 1 << (index % 8));
             Self::Bits(bits)
         }
     }
 
-    /// The set among `all` places; none if it names others.
-    pub fn read(&self, all: usize) -> Option<FixedBitSet> {
-        let mut set = FixedBitSet::with_capacity(all);
+    /// Decodes a set for a roster of `router_count` routers; none if it doesn't fit.
+    pub fn decode(&self, router_count: usize) -> Option<FixedBitSet> {
+        let mut set = FixedBitSet::with_capacity(router_count);
         match self {
             Self::Only(these) | Self::AllBut(these) => {
-                if these.len() > all || these.iter().any(|at| usize::from(*at) >= all) {
+                if these.len() > router_count || these.iter().any(|index| usize::from(*index) >= router_count)
+                {
                     return None;
                 }
-                these.iter().for_each(|at| set.insert(usize::from(*at)));
+                these.iter().for_each(|index| set.insert(usize::from(*index)));
                 if matches!(self, Self::AllBut(_)) {
                     set.toggle_range(..);
                 }
             }
             Self::Bits(bits) => {
-                if bits.len() != all.div_ceil(8) {
+                if bits.len() != router_count.div_ceil(8) {
                     return None;
                 }
-                (0..all).filter(|at| bits[at / 8] >> (at % 8) & 1 == 1).for_each(|at| set.insert(at));
+                (0..router_count)
+                    .filter(|index| bits[index / 8] >> (index % 8) & 1 == 1)
+                    .for_each(|index| set.insert(index));
             }
         }
         Some(set)
     }
 }
 
-/// How many epochs ago each router was last heard of, as a sender knows: 0, 1, up to 3, or longer ago.
+/// How many epochs ago the sender last heard of each router: 0, 1, up to 3, or longer.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Lags {
-    /// So long for all but these.
-    Most(u8, Vec<(u16, u8)>),
-    /// Two bits a place.
+pub enum EpochLags {
+    /// One step for all routers except the listed ones.
+    Sparse(u8, Vec<(u16, u8)>),
+    /// Two bits for each index.
     Bits(Vec<u8>),
 }
 
-/// More than three epochs ago, or never.
-pub const LONG: u8 = 3;
+/// The step for more than three epochs ago, or never.
+pub const LONG_LAG: u8 = 3;
 
-impl Lags {
-    /// What is told for so many epochs: never less than it was.
-    pub fn step(epochs: u32) -> u8 {
+impl EpochLags {
+    /// Returns the step for a number of epochs; it never stands for fewer.
+    pub fn quantize(epochs: u32) -> u8 {
         match epochs {
             0 | 1 => epochs as u8,
             2 | 3 => 2,
-            _ => LONG,
+            _ => LONG_LAG,
         }
     }
 
-    /// How many epochs are meant, at most.
-    pub fn epochs(step: u8) -> Option<u32> {
+    /// Returns the maximum number of epochs that a step stands for; none if unlimited.
+    pub fn max_epochs(step: u8) -> Option<u32> {
         [Some(0), Some(1), Some(3), None][usize::from(step & 3)]
     }
 
-    /// The shortest form.
+    /// Encodes the steps of all routers in their shortest form.
     pub fn of(steps: &[u8]) -> Self {
         let count = |step: u8| steps.iter().filter(|one| **one == step).count();
-        let most = (0..=LONG).max_by_key(|step| count(*step)).unwrap_or(0);
+        let most = (0..=LONG_LAG).max_by_key(|step| count(*step)).unwrap_or(0);
         if (steps.len() - count(most)) * 3 <= steps.len() / 4 {
             let others = steps.iter().enumerate().filter(|(_, step)| **step != most);
-            return Self::Most(most, others.map(|(at, step)| (at as u16, *step)).collect());
+            return Self::Sparse(most, others.map(|(index, step)| (index as u16, *step)).collect());
         }
         let mut bits = vec![0u8; steps.len().div_ceil(4)];
-        steps.iter().enumerate().for_each(|(at, step)| bits[at / 4] |= (step & 3) << (2 * (at % 4)));
+        steps.iter().enumerate().for_each(|(index, step)| bits[index / 4] |= (step & 3) << (2 * (index % 4)));
         Self::Bits(bits)
     }
 
-    /// A step for each of `all`; none if it names others.
-    pub fn read(&self, all: usize) -> Option<Vec<u8>> {
+    /// Decodes a step for each of `router_count` routers; none if the encoding doesn't fit.
+    pub fn decode(&self, router_count: usize) -> Option<Vec<u8>> {
         match self {
-            Self::Most(most, others) => {
-                if others.len() > all || others.iter().any(|(at, _)| usize::from(*at) >= all) {
+            Self::Sparse(most, others) => {
+                if others.len() > router_count
+                    || others.iter().any(|(index, _)| usize::from(*index) >= router_count)
+                {
                     return None;
                 }
-                let mut steps = vec![*most & 3; all];
-                others.iter().for_each(|(at, step)| steps[usize::from(*at)] = step & 3);
+                let mut steps = vec![*most & 3; router_count];
+                others.iter().for_each(|(index, step)| steps[usize::from(*index)] = step & 3);
                 Some(steps)
             }
-            Self::Bits(bits) if bits.len() == all.div_ceil(4) => {
-                Some((0..all).map(|at| bits[at / 4] >> (2 * (at % 4)) & 3).collect())
+            Self::Bits(bits) if bits.len() == router_count.div_ceil(4) => {
+                Some((0..router_count).map(|index| bits[index / 4] >> (2 * (index % 4)) & 3).collect())
             }
             Self::Bits(_) => None,
         }
--- a/src/fleet/epochs/incarnations.rs
+++ b/src/fleet/epochs/incarnations.rs
@@ -1,238 +1,259 @@
-//! Which life of each router is known, and which of it is still to be told.
+//! The table of the known incarnation of each router, and of what is still to be sent of it.
 
-use super::wire::{self, Entry, Life, Mark};
+use super::wire::{self, Incarnation, IncarnationEntry, IncarnationStatus};
 use crate::api::Millis;
 use fixedbitset::FixedBitSet;
 use twox_hash::XxHash64;
 
-/// Routers in a block, for each of which two routers compare what they know.
-pub const BLOCK: usize = 64;
-/// Datagrams that take a new life along, of each router that learns it.
-const TELLS: u8 = 5;
-/// What a datagram adds whose sender knew other starts of a block, or only other terms, and what one takes away whose sender
-/// knew the same; from so much on the whole block is told.
-const OTHER_STARTS: u8 = 4;
-const OTHER_REST: u8 = 1;
-const MIXED: u8 = 16;
-/// Bytes of a block's digests: of the starts, of the rest, and how many starts are known.
-const DIGEST: usize = 4 + 2 + 1;
-
-/// What has been learned of a router.
+/// Routers in a block. Two routers compare their tables block by block.
+pub const BLOCK_ROUTERS: usize = 64;
+/// Datagrams in which each router that learns of an incarnation passes it on.
+const SENDS_PER_UPDATE: u8 = 5;
+/// How much the mismatch score of a block grows with a datagram whose sender knows other starts in it, or
+/// only other terms and statuses, and from which score on the whole block is sent. A datagram of a sender
+/// that knows the same lowers the score by the first value.
+const START_MISMATCH: u8 = 4;
+const REST_MISMATCH: u8 = 1;
+const MISMATCH_THRESHOLD: u8 = 16;
+/// Bytes of the digests of a block: of the starts, of the terms and statuses, and the number of known starts.
+const DIGEST_BYTES_PER_BLOCK: usize = 4 + 2 + 1;
+
+/// What merging an incarnation has changed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Learned {
-    /// A start that wasn't known.
-    Start,
+pub enum IncarnationUpdate {
+    /// A start that was not known.
+    NewStart,
     /// A later term of the same start.
-    Term,
-    /// Something said of the same life.
-    Mark,
+    NewTerm,
+    /// A later status of the same start and term.
+    NewStatus,
 }
 
-/// The lives of all routers of the roster, bounded by it.
+/// The incarnations of all routers, bounded by the roster.
 #[derive(Clone, Debug)]
-pub struct Book {
-    lives: Vec<Life>,
+pub struct IncarnationTable {
+    incarnations: Vec<Incarnation>,
     /// When each start was learned, by this router's clock.
-    start_at: Vec<Millis>,
-    /// A hash of place and start.
+    start_learned_at: Vec<Millis>,
+    /// A hash of the index and the start of each router.
     hashes: Vec<u64>,
-    starts: Vec<u32>,
-    rest: Vec<u16>,
-    known: Vec<u8>,
-    tells: Vec<u8>,
-    fresh: Vec<u16>,
-    mixed: Vec<u8>,
-    /// Where the telling of blocks goes on.
-    next: usize,
+    start_digests: Vec<u32>,
+    rest_digests: Vec<u16>,
+    known_starts: Vec<u8>,
+    sends_left: Vec<u8>,
+    recent: Vec<u16>,
+    mismatch_score: Vec<u8>,
+    /// The router from which sending whole blocks continues.
+    next_router: usize,
 }
 
-fn hash(of: usize, parts: [u64; 2]) -> u64 {
-    let bytes: Vec<u8> = [of as u64, parts[0], parts[1]].iter().flat_map(|part| part.to_le_bytes()).collect();
+fn hash(router: usize, parts: [u64; 2]) -> u64 {
+    let bytes: Vec<u8> =
+        [router as u64, parts[0], parts[1]].iter().flat_map(|part| part.to_le_bytes()).collect();
     XxHash64::oneshot(7, &bytes)
 }
 
-impl Book {
-    /// Of so many routers nothing is known.
+impl IncarnationTable {
+    /// Creates a table for `routers` routers of which nothing is known.
     pub fn new(routers: usize, now: Millis) -> Self {
-        let blocks = routers.div_ceil(BLOCK);
+        let block_count = routers.div_ceil(BLOCK_ROUTERS);
         Self {
-            lives: vec![Life::default(); routers],
-            start_at: vec![now; routers],
-            hashes: (0..routers).map(|of| hash(of, [0, u64::MAX])).collect(),
-            starts: vec![0; blocks],
-            rest: vec![0; blocks],
-            known: vec![0; blocks],
-            tells: vec![0; routers],
-            fresh: Vec::new(),
-            mixed: vec![0; blocks],
-            next: 0,
+            incarnations: vec![Incarnation::default(); routers],
+            start_learned_at: vec![now; routers],
+            hashes: (0..routers).map(|router| hash(router, [0, u64::MAX])).collect(),
+            start_digests: vec![0; block_count],
+            rest_digests: vec![0; block_count],
+            known_starts: vec![0; block_count],
+            sends_left: vec![0; routers],
+            recent: Vec::new(),
+            mismatch_score: vec![0; block_count],
+            next_router: 0,
         }
     }
 
-    /// The life that is known of one.
-    pub fn life(&self, of: usize) -> Life {
-        self.lives[of]
+    /// Returns the known incarnation of a router.
+    pub fn get(&self, router: usize) -> Incarnation {
+        self.incarnations[router]
     }
 
-    /// When its start was learned.
-    pub fn start_at(&self, of: usize) -> Millis {
-        self.start_at[of]
+    /// Returns when the start of a router was learned.
+    pub fn start_learned_at(&self, router: usize) -> Millis {
+        self.start_learned_at[router]
     }
 
-    /// How many blocks there are.
-    pub fn blocks(&self) -> usize {
-        self.starts.len()
+    /// Returns the number of blocks.
+    pub fn block_count(&self) -> usize {
+        self.start_digests.len()
     }
 
-    /// A life: what is not later than what is known changes nothing.
-    pub fn learn(&mut self, of: usize, life: Life, now: Millis) -> Option<Learned> {
-        let known = self.lives[of];
-        if life <= known {
+    /// Merges an incarnation. One that is not later than the known one changes nothing.
+    pub fn merge(
+        &mut self,
+        router: usize,
+        incarnation: Incarnation,
+        now: Millis,
+    ) -> Option<IncarnationUpdate> {
+        let known = self.incarnations[router];
+        if incarnation <= known {
             return None;
         }
-        let block = of / BLOCK;
-        let digest = |life: Life| {
-            let start = hash(of, [life.start, 1]) as u32;
-            let rest = hash(of, [u64::from(life.term), 2 + life.mark as u64]) as u16;
+        let block = router / BLOCK_ROUTERS;
+        let digest = |incarnation: Incarnation| {
+            let start = hash(router, [incarnation.start, 1]) as u32;
+            let rest = hash(router, [u64::from(incarnation.term), 2 + incarnation.status as u64]) as u16;
             (start, rest)
         };
-        for (start, rest) in [digest(known), digest(life)] {
-            self.starts[block] ^= start;
-            self.rest[block] ^= rest;
+        for (start, rest) in [digest(known), digest(incarnation)] {
+            self.start_digests[block] ^= start;
+            self.rest_digests[block] ^= rest;
         }
-        self.known[block] += u8::from(known.start == 0);
-        self.lives[of] = life;
-        self.hashes[of] = hash(of, [life.start, u64::MAX]);
-        if self.tells[of] == 0 {
-            self.fresh.push(of as u16);
+        self.known_starts[block] += u8::from(known.start == 0);
+        self.incarnations[router] = incarnation;
+        self.hashes[router] = hash(router, [incarnation.start, u64::MAX]);
+        if self.sends_left[router] == 0 {
+            self.recent.push(router as u16);
         }
-        self.tells[of] = TELLS;
-        Some(if life.start > known.start {
-            self.start_at[of] = now;
-            Learned::Start
-        } else if life.term > known.term {
-            Learned::Term
+        self.sends_left[router] = SENDS_PER_UPDATE;
+        Some(if incarnation.start > known.start {
+            self.start_learned_at[router] = now;
+            IncarnationUpdate::NewStart
+        } else if incarnation.term > known.term {
+            IncarnationUpdate::NewTerm
         } else {
-            Learned::Mark
+            IncarnationUpdate::NewStatus
         })
     }
 
-    /// What is said of a life that is known.
-    pub fn mark(&mut self, of: usize, mark: Mark, now: Millis) -> bool {
-        let life = Life { mark, ..self.lives[of] };
-        self.learn(of, life, now).is_some()
+    /// Sets the status of a known incarnation; returns whether that is a change.
+    pub fn set_status(&mut self, router: usize, status: IncarnationStatus, now: Millis) -> bool {
+        let incarnation = Incarnation { status, ..self.incarnations[router] };
+        self.merge(router, incarnation, now).is_some()
     }
 
-    /// Of the starts of all in a set: alike only where all of these are known alike.
-    pub fn digest(&self, set: &FixedBitSet) -> u64 {
-        set.ones().fold(0, |digest, of| digest ^ self.hashes[of])
+    /// Returns a digest of the starts of `members`: equal at two routers only if they know the same starts of
+    /// all of them.
+    pub fn start_digest(&self, members: &FixedBitSet) -> u64 {
+        members.ones().fold(0, |digest, router| digest ^ self.hashes[router])
     }
 
-    /// What a datagram says of all blocks.
-    pub fn digests(&self) -> Vec<u8> {
-        let starts = self.starts.iter().flat_map(|digest| digest.to_le_bytes());
-        let rest = self.rest.iter().flat_map(|digest| digest.to_le_bytes());
-        starts.chain(rest).chain(self.known.iter().copied()).collect()
+    /// Returns the digests of all blocks for a datagram.
+    pub fn block_digests(&self) -> Vec<u8> {
+        let starts = self.start_digests.iter().flat_map(|digest| digest.to_le_bytes());
+        let rest = self.rest_digests.iter().flat_map(|digest| digest.to_le_bytes());
+        starts.chain(rest).chain(self.known_starts.iter().copied()).collect()
     }
 
-    /// Whether another router's digests show the same starts, block by block; none if they aren't of this roster. Notes where
-    /// anything differs.
-    pub fn compare(&mut self, digests: &[u8]) -> Option<Vec<bool>> {
-        if digests.len() != DIGEST * self.blocks() {
+    /// Returns for each block whether another router's digests show the same starts, or `None` if the digests
+    /// don't fit this roster. Updates the mismatch scores.
+    pub fn compare_blocks(&mut self, digests: &[u8]) -> Option<Vec<bool>> {
+        if digests.len() != DIGEST_BYTES_PER_BLOCK * self.block_count() {
             return None;
         }
-        let same: Vec<(bool, bool)> = (0..self.blocks()).map(|block| self.same(block, digests)).collect();
-        for (mixed, same) in self.mixed.iter_mut().zip(&same) {
-            *mixed = match same {
-                (true, true) => mixed.saturating_sub(OTHER_STARTS),
-                (true, false) => (*mixed + OTHER_REST).min(2 * MIXED),
-                (false, _) => (*mixed + OTHER_STARTS).min(2 * MIXED),
+        let same: Vec<(bool, bool)> =
+            (0..self.block_count()).map(|block| self.block_matches(block, digests)).collect();
+        for (mismatch_score, same) in self.mismatch_score.iter_mut().zip(&same) {
+            *mismatch_score = match same {
+                (true, true) => mismatch_score.saturating_sub(START_MISMATCH),
+                (true, false) => (*mismatch_score + REST_MISMATCH).min(2 * MISMATCH_THRESHOLD),
+                (false, _) => (*mismatch_score + START_MISMATCH).min(2 * MISMATCH_THRESHOLD),
             };
         }
         Some(same.into_iter().map(|(start, _)| start).collect())
     }
 
-    /// Whether a block's starts, and all of it, are as another router's digests show.
-    fn same(&self, block: usize, digests: &[u8]) -> (bool, bool) {
-        let (starts, rest) = digests.split_at(4 * self.blocks());
-        let start = starts[4 * block..4 * block + 4] == self.starts[block].to_le_bytes();
-        (start, start && rest[2 * block..2 * block + 2] == self.rest[block].to_le_bytes())
+    /// Whether the starts of a block, and whether all of it, match another router's digests.
+    fn block_matches(&self, block: usize, digests: &[u8]) -> (bool, bool) {
+        let (starts, rest) = digests.split_at(4 * self.block_count());
+        let start = starts[4 * block..4 * block + 4] == self.start_digests[block].to_le_bytes();
+        (start, start && rest[2 * block..2 * block + 2] == self.rest_digests[block].to_le_bytes())
     }
 
-    /// Blocks of which the sender of these digests is to be told: it knows fewer starts than this router, or something else
-    /// than this one and most others.
-    pub fn lacks(&self, digests: &[u8]) -> Vec<bool> {
-        let known = &digests[6 * self.blocks()..];
-        let lacks = |block: usize| match self.known[block].cmp(&known[block]) {
+    /// Returns the blocks that the sender of these digests is to be sent: it knows fewer starts than this
+    /// router, or its table differs from those of this router and most others.
+    pub fn blocks_to_send(&self, digests: &[u8]) -> Vec<bool> {
+        let known = &digests[6 * self.block_count()..];
+        let lacks = |block: usize| match self.known_starts[block].cmp(&known[block]) {
             std::cmp::Ordering::Greater => true,
-            std::cmp::Ordering::Equal => self.mixed[block] < MIXED && !self.same(block, digests).1,
+            std::cmp::Ordering::Equal => {
+                self.mismatch_score[block] < MISMATCH_THRESHOLD && !self.block_matches(block, digests).1
+            }
             std::cmp::Ordering::Less => false,
         };
-        (0..self.blocks()).map(lacks).collect()
+        (0..self.block_count()).map(lacks).collect()
     }
 
-    /// Whether digests are of a roster of this size.
-    pub fn fits(&self, digests: &[u8]) -> bool {
-        digests.len() == DIGEST * self.blocks()
+    /// Whether digests have the length for a roster of this size.
+    pub fn has_valid_length(&self, digests: &[u8]) -> bool {
+        digests.len() == DIGEST_BYTES_PER_BLOCK * self.block_count()
     }
 
-    /// Bytes to be kept for lives, up to `most`.
-    pub fn to_tell(&self, most: usize) -> usize {
-        if self.mixed.iter().any(|mixed| *mixed >= MIXED) {
+    /// Returns the bytes to reserve for incarnations in a datagram, at most `most`.
+    pub fn reserved_bytes(&self, most: usize) -> usize {
+        if self.mismatch_score.iter().any(|mismatch_score| *mismatch_score >= MISMATCH_THRESHOLD) {
             return most;
         }
-        most.min(10 * self.fresh.len())
+        most.min(10 * self.recent.len())
     }
 
-    /// Entries for a datagram with so many bytes left: what is fresh, then whole blocks that `wants` or that many know
-    /// differently. `draw` is by chance, so that each datagram takes others along.
-    pub fn entries(&mut self, room: usize, wants: Option<&[bool]>, draw: usize) -> Vec<Entry> {
-        let mut out: Vec<Entry> = Vec::new();
-        let mut left = room;
-        // Near enough: the order in which they go is by place, the starts of which are alike.
-        let near = self.lives.iter().map(|life| life.start).max().unwrap_or(0);
-        let mut add = |out: &mut Vec<Entry>, of: usize, life: Life| match left
-            .checked_sub(wire::cost(life, near) + 1)
-        {
-            Some(rest) => {
-                left = rest;
-                out.push(Entry { of: of as u16, life });
-                true
-            }
-            None => false,
-        };
-        if wants.is_none() {
-            let (from, count) = (draw % self.fresh.len().max(1), self.fresh.len());
+    /// Selects entries for a datagram with `room` bytes left: recent changes, then whole blocks, either the
+    /// requested ones or those with a high mismatch score. `random` makes each datagram carry other entries.
+    pub fn entries(
+        &mut self,
+        room: usize,
+        requested_blocks: Option<&[bool]>,
+        random: usize,
+    ) -> Vec<IncarnationEntry> {
+        let mut out: Vec<IncarnationEntry> = Vec::new();
+        let mut room_left = room;
+        // Close enough: entries are sent in the order of the roster, and their start numbers are similar.
+        let reference_start =
+            self.incarnations.iter().map(|incarnation| incarnation.start).max().unwrap_or(0);
+        let mut add =
+            |out: &mut Vec<IncarnationEntry>, router: usize, incarnation: Incarnation| match room_left
+                .checked_sub(wire::entry_bytes(incarnation, reference_start) + 1)
+            {
+                Some(rest) => {
+                    room_left = rest;
+                    out.push(IncarnationEntry { router: router as u16, incarnation });
+                    true
+                }
+                None => false,
+            };
+        if requested_blocks.is_none() {
+            let (from, count) = (random % self.recent.len().max(1), self.recent.len());
             for at in (0..count).map(|step| (from + step) % count) {
-                let of = usize::from(self.fresh[at]);
-                if !add(&mut out, of, self.lives[of]) {
+                let router = usize::from(self.recent[at]);
+                if !add(&mut out, router, self.incarnations[router]) {
                     break;
                 }
-                self.tells[of] -= 1;
+                self.sends_left[router] -= 1;
             }
-            let tells = &self.tells;
-            self.fresh.retain(|of| tells[usize::from(*of)] > 0);
+            let sends_left = &self.sends_left;
+            self.recent.retain(|router| sends_left[usize::from(*router)] > 0);
         }
-        let (blocks, routers) = (self.blocks(), self.lives.len());
-        // From where the last datagram ended, on; each router once.
+        let (block_count, routers) = (self.block_count(), self.incarnations.len());
+        // Continues where the last datagram ended; each router at most once.
         let mut steps = 0;
         while steps < routers {
-            let of = self.next % routers;
-            let block = of / BLOCK;
-            if wants.map_or(self.mixed[block] >= MIXED, |wants| wants[block]) {
-                let life = self.lives[of];
-                if life.start > 0 && !add(&mut out, of, life) {
+            let router = self.next_router % routers;
+            let block = router / BLOCK_ROUTERS;
+            if requested_blocks.map_or(self.mismatch_score[block] >= MISMATCH_THRESHOLD, |requested_blocks| {
+                requested_blocks[block]
+            }) {
+                let incarnation = self.incarnations[router];
+                if incarnation.start > 0 && !add(&mut out, router, incarnation) {
                     break;
                 }
-                (self.next, steps) = (of + 1, steps + 1);
+                (self.next_router, steps) = (router + 1, steps + 1);
             } else {
-                let on = (block + 1) % blocks * BLOCK;
-                let passed = if on > of { on - of } else { routers - of };
-                (self.next, steps) = (on, steps + passed.max(1));
+                let next_block_start = (block + 1) % block_count * BLOCK_ROUTERS;
+                let passed =
+                    if next_block_start > router { next_block_start - router } else { routers - router };
+                (self.next_router, steps) = (next_block_start, steps + passed.max(1));
             }
         }
-        out.sort_unstable_by_key(|entry| entry.of);
-        out.dedup_by_key(|entry| entry.of);
+        out.sort_unstable_by_key(|entry| entry.router);
+        out.dedup_by_key(|entry| entry.router);
         out
     }
 }
--- a/src/fleet/epochs/incarnations/tests.rs
+++ b/src/fleet/epochs/incarnations/tests.rs
@@ -1,43 +1,57 @@
 use super::*;
 
-fn life(start: u64, term: u32, mark: Mark) -> Life {
-    Life { start, term, mark }
+fn incarnation(start: u64, term: u32, status: IncarnationStatus) -> Incarnation {
+    Incarnation { start, term, status }
 }
 
 #[test]
-fn later_lives_replace_earlier_ones_and_two_books_agree_only_on_what_both_know() {
-    let (mut one, mut other) = (Book::new(130, 0.0), Book::new(130, 0.0));
-    assert_eq!(one.learn(3, life(100, 1, Mark::Here), 5.0), Some(Learned::Start));
-    assert_eq!(one.learn(3, life(100, 2, Mark::Here), 6.0), Some(Learned::Term));
-    assert_eq!(one.learn(3, life(100, 1, Mark::Gone), 7.0), None, "of an earlier term");
-    assert_eq!(one.learn(3, life(90, 9, Mark::Left), 7.0), None, "of an earlier start");
-    assert_eq!((one.life(3).term, one.start_at(3)), (2, 5.0));
+fn later_incarnations_replace_earlier_ones_and_two_tables_match_only_where_both_know_the_same() {
+    let (mut one, mut other) = (IncarnationTable::new(130, 0.0), IncarnationTable::new(130, 0.0));
+    assert_eq!(
+        one.merge(3, incarnation(100, 1, IncarnationStatus::Present), 5.0),
+        Some(IncarnationUpdate::NewStart)
+    );
+    assert_eq!(
+        one.merge(3, incarnation(100, 2, IncarnationStatus::Present), 6.0),
+        Some(IncarnationUpdate::NewTerm)
+    );
+    assert_eq!(one.merge(3, incarnation(100, 1, IncarnationStatus::Gone), 7.0), None, "of an earlier term");
+    assert_eq!(one.merge(3, incarnation(90, 9, IncarnationStatus::Left), 7.0), None, "of an earlier start");
+    assert_eq!((one.get(3).term, one.start_learned_at(3)), (2, 5.0));
     let mut set = FixedBitSet::with_capacity(130);
     set.insert(3);
-    assert_ne!(one.digest(&set), other.digest(&set));
-    assert_eq!(other.compare(&one.digests()), Some(vec![false, true, true]));
-    assert_eq!(other.learn(3, life(100, 1, Mark::Here), 9.0), Some(Learned::Start));
-    assert_eq!(other.compare(&one.digests()), Some(vec![true; 3]), "the same start");
-    assert_eq!(other.digest(&set), one.digest(&set));
-    assert!(one.mark(3, Mark::Doubted, 9.0) && !one.mark(3, Mark::Here, 9.0));
-    assert_eq!(other.learn(3, one.life(3), 9.0), Some(Learned::Term));
-    assert_eq!(one.digests(), other.digests());
-    assert_eq!(other.compare(&[0; 5]), None);
+    assert_ne!(one.start_digest(&set), other.start_digest(&set));
+    assert_eq!(other.compare_blocks(&one.block_digests()), Some(vec![false, true, true]));
+    assert_eq!(
+        other.merge(3, incarnation(100, 1, IncarnationStatus::Present), 9.0),
+        Some(IncarnationUpdate::NewStart)
+    );
+    assert_eq!(other.compare_blocks(&one.block_digests()), Some(vec![true; 3]), "the same start");
+    assert_eq!(other.start_digest(&set), one.start_digest(&set));
+    assert!(
+        one.set_status(3, IncarnationStatus::Doubted, 9.0)
+            && !one.set_status(3, IncarnationStatus::Present, 9.0)
+    );
+    assert_eq!(other.merge(3, one.get(3), 9.0), Some(IncarnationUpdate::NewTerm));
+    assert_eq!(one.block_digests(), other.block_digests());
+    assert_eq!(other.compare_blocks(&[0; 5]), None);
 }
 
 #[test]
-fn what_is_fresh_is_told_a_few_times_and_a_block_on_demand_whole() {
-    let mut book = Book::new(200, 0.0);
-    for of in 0..200 {
-        book.learn(of, life(1, 1, Mark::Here), 0.0);
+fn a_recent_change_is_sent_a_few_times_and_a_requested_block_completely() {
+    let mut table = IncarnationTable::new(200, 0.0);
+    for router in 0..200 {
+        table.merge(router, incarnation(1, 1, IncarnationStatus::Present), 0.0);
     }
-    let mut told = 0;
-    (0..400).for_each(|draw| told += book.entries(25, None, draw * 31).len());
-    assert_eq!(told, 200 * usize::from(TELLS));
-    let wants = [false, true, false, true];
+    let mut sent = 0;
+    (0..400).for_each(|random| sent += table.entries(25, None, random * 31).len());
+    assert_eq!(sent, 200 * usize::from(SENDS_PER_UPDATE));
+    let requested_blocks = [false, true, false, true];
     let mut seen = std::collections::BTreeSet::new();
     for _ in 0..8 {
-        seen.extend(book.entries(80, Some(&wants), 0).iter().map(|entry| usize::from(entry.of)));
+        seen.extend(
+            table.entries(80, Some(&requested_blocks), 0).iter().map(|entry| usize::from(entry.router)),
+        );
     }
     assert_eq!(seen, (64..128).chain(192..200).collect());
 }
--- a/src/fleet/epochs/mod.rs
+++ b/src/fleet/epochs/mod.rs
@@ -1,27 +1,33 @@
-//! Membership of a large fleet: a roll is called twice a second, and whoever hears it signs it.
+//! Membership of a large fleet: in each epoch a coordinator opens a ballot, and each router that it reaches
+//! signs it.
 //!
-//! Owns the [`Book`] of lives, what was heard of each router, the [`Calls`], and this router's [`Own`] standing: all bounded by
-//! the roster, [`MAX_ROUTERS`](super::MAX_ROUTERS), and a few epochs.
+//! The module holds the [`IncarnationTable`], what was heard of each router, the [`Ballots`] and this
+//! router's [`EpochQuorum`], all bounded by the roster ([`MAX_ROUTERS`](super::MAX_ROUTERS)) and a few
+//! epochs.
 //!
-//! Time is cut into *epochs*, which the whole fleet enters together as far as it can: whoever hears of a later one enters it.
-//! Each router tells the epoch it is in, and for everybody else the latest one that it knows of, two bits a router. At
-//! an epoch's end a clerk ([`schedule`]) calls a roll of all that have been heard of since an epoch; it travels, and everybody
-//! whom it reaches has then heard of all in it, and signs it.
+//! Time is divided into *epochs*, which the fleet enters together as far as possible: a router that hears of
+//! a later epoch enters it. Each datagram carries the sender's epoch, and for every other router the latest
+//! epoch that it is known to have been in, in two bits each. At the end of an epoch a coordinator
+//! ([`schedule`]) opens a liveness ballot that lists all routers heard of since a given epoch. The ballot
+//! spreads by gossip; a router that it reaches has thereby heard of all its members, and signs it.
 //!
-//! The sentences of [`super`] are kept here by:
+//! The safety guarantees of [`super`] are kept by:
 //!
-//! - *Who is called gone knew before that it was cut off.* (1) A router has its standing by a roll that a majority has signed,
-//!   for `lease_ms` from when it entered the roll's epoch ([`Own::signed`]). (2) Whoever signs a roll has heard that all in it
-//!   were in that epoch, so its silence of each began later (`Rolls::hear_roll`); it gives a life up after at least `refuse_ms`
-//!   of it (`Rolls::judge`), and never again vouches for that life ([`ballots::may_sign`]; whom a name leaves out travels with
-//!   it). (3) A life is called gone when so many have signed that they gave it up that the rest is no majority
-//!   (`Rolls::verdict`), or when somebody tells that ([`Mark::Gone`]). (4) `lease_ms` is shorter than `refuse_ms` by more than
-//!   clocks differ: every majority of (1) has one of (3), who signed before its silence began, so that the lease is over when
-//!   it gives up. (5) A start without memory may have given lives up before: who was in a term before it knew of that start
-//!   does not count that start's name (`Rolls::counted`).
-//! - *No word about or from an earlier start counts*: starts only grow ([`Book::learn`]), and which epoch was heard of is taken
-//!   over only where both know the same starts ([`Book::compare`]).
-//! - *A term that has ended never comes back* ([`Own::settle`]).
+//! - *Self-detection first*: (1) a router has a quorum by a liveness ballot that a majority has signed, for
+//!   `lease_ms` from when it entered the ballot's epoch ([`EpochQuorum::confirm`]). (2) A router that signs a
+//!   ballot has heard that all its members were in that epoch, so the silence that it measures of each began
+//!   later (`record_ballot_members`). It votes an incarnation failed after at least `refuse_after_ms` of
+//!   silence (`check_peer`), and never again confirms that incarnation ([`ballots::may_sign`]; the exceptions
+//!   to a signature travel with it). (3) An incarnation is declared gone when so many have signed a failure
+//!   ballot that the rest is no majority (`check_failure_ballot`), or when another router reports that
+//!   ([`IncarnationStatus::Gone`]). (4) `lease_ms` is shorter than `refuse_after_ms` by more than clocks
+//!   differ. Every majority of (1) contains a voter of (3), which signed before its silence began, so the
+//!   lease is over when it votes. (5) The process before a start without memory may have voted: a router that
+//!   was in a term before it learned of that start does not count that start's signature (`counts_signer`).
+//! - *No stale starts*: start numbers only grow ([`IncarnationTable::merge`]), and the epochs that others
+//!   report are taken over with certainty only where both sides know the same starts
+//!   ([`IncarnationTable::compare_blocks`]).
+//! - *Terms end for good*: [`EpochQuorum::update`].
 
 pub mod ballots;
 pub mod encoding;
@@ -31,870 +37,977 @@
 mod view;
 pub mod wire;
 
-use super::local_health::Patience;
-use super::rate_limit::Allowance;
+use super::local_health::LocalHealth;
+use super::rate_limit::RateLimiter;
 use super::settings::RouterId;
 use super::{Counts, Effect, QuorumStatus, RejectReason, Settings, State};
 use crate::api::Millis;
-use ballots::{Calls, Key, KEPT};
-use encoding::Lags;
+use ballots::{BallotKey, Ballots, KEPT_EPOCHS};
+use encoding::EpochLags;
 use fixedbitset::FixedBitSet;
-use incarnations::{Book, Learned};
-use quorum::Own;
+use incarnations::{IncarnationTable, IncarnationUpdate};
+use quorum::EpochQuorum;
 use schedule::Roles;
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 use twox_hash::XxHash64;
-use wire::{Entry, Kind, Life, Lives, Mark, Packet};
-
-/// Bytes of a datagram, usually at most, and of one for a router that knows little.
-const USUAL: usize = 900;
-const FULL: usize = 1190;
-/// Of these so many for lives, where there are some to tell.
-const LIVES: usize = 300;
-/// A roll may lack one in so many of those that were heard of.
-const LACKS: usize = 10;
-/// Periods after which words of an epoch are too old, where most come in time.
-const STALE: f64 = 2.3;
-/// Epochs without a roll of the given up after which others than clerks call one.
-const STEPS_IN: u32 = 2;
-/// Epochs in which a router waits until it can say all that a roll of the given up says.
-const WAITS: u32 = 6;
-/// Part of the time to suspicion after which one is asked, and how many at once.
-const ASK_PART: f64 = 0.7;
-const ASKED: usize = 2;
-/// Time between two answers out of turn to one router, in ms.
-const ANSWER_MS: Millis = 150.0;
-/// Datagrams that are kept back from answers out of turn.
-const KEPT_BACK: usize = 5;
-/// A router asks for a new term if too few of those whom it may count are left, this long after the last one, in ms.
-const TERM_MS: Millis = 1000.0;
-/// How many more than a majority it wants, as a part of the fleet.
-const SPARE: f64 = 0.1;
-/// Who is to be given up within so many periods is called together with those who have been.
-const SOON: f64 = 2.0;
-/// Periods in which one that comes back hears of all that was while it was away.
-/// At most the least suspicion: nobody is given up sooner after a beginning.
-const CAUGHT_UP: f64 = 3.0;
-/// Periods in which a new start becomes known to nearly all.
-const YOUNG: f64 = 3.0;
-/// And by how much more if all routers were young, as a part of that.
-const MANY_YOUNG: f64 = 6.0;
-/// One in so many of the passed on words goes to somebody who is missed.
-const FAR_EVERY: u64 = 6;
-/// Part that the latest news have in how late they usually are.
-const LATE_PART: f64 = 0.2;
-
-/// What is known of a router beside its life.
+use wire::{BallotKind, EncodedIncarnations, Incarnation, IncarnationEntry, IncarnationStatus, Packet};
+
+/// Usual maximum size of a datagram in bytes, and the maximum for a router that knows little.
+const USUAL_DATAGRAM_BYTES: usize = 900;
+const FULL_DATAGRAM_BYTES: usize = 1190;
+/// Bytes of a datagram that are reserved for incarnations, where there are any to send.
+const INCARNATION_BYTES: usize = 300;
+/// A liveness ballot may lack one in so many of the routers that were heard of.
+const MISSING_MEMBERS_DIVISOR: usize = 10;
+/// Periods after which information about an epoch is too old, where most of it arrives in time.
+const STALE_PERIODS: f64 = 2.3;
+/// Epochs without a failure ballot after which routers other than coordinators open one.
+const TAKEOVER_EPOCHS: u32 = 2;
+/// Epochs for which a router delays its signature until it can confirm all members of a failure ballot.
+const SIGN_WAIT_EPOCHS: u32 = 6;
+/// Fraction of the time to suspicion after which a router is probed, and the maximum number of probes at
+/// once.
+const PROBE_FRACTION: f64 = 0.7;
+const MAX_PROBES: usize = 2;
+/// Minimum time between two extra replies to one router, in ms.
+const MIN_REPLY_INTERVAL_MS: Millis = 150.0;
+/// Datagrams of the rate limit that extra replies leave unused.
+const RESERVED_DATAGRAMS: usize = 5;
+/// Minimum time from one term to the next when a router renews its term because too few signers that it may
+/// count are left, in ms.
+const MIN_TERM_MS: Millis = 1000.0;
+/// Signers that a router wants beyond a majority, as a fraction of the fleet.
+const SPARE_SIGNERS_FRACTION: f64 = 0.1;
+/// Routers that are due to be voted failed within so many periods are put on the ballot along with those that
+/// already are.
+const GROUPED_VOTE_PERIODS: f64 = 2.0;
+/// Periods in which a router that returns learns of all that happened while it was away. The wait is at most
+/// the least suspicion, since no incarnation is voted failed sooner after its beginning.
+const CATCH_UP_PERIODS: f64 = 3.0;
+/// Periods in which a new start becomes known to nearly all routers.
+const NEW_START_PERIODS: f64 = 3.0;
+/// The factor by which that time grows when all routers are new, in proportion to their share.
+const ALL_NEW_EXTRA_FACTOR: f64 = 6.0;
+/// One in so many randomly addressed datagrams goes to a router that is missing.
+const MISSING_TARGET_INTERVAL: u64 = 6;
+/// Weight of the latest information in the smoothed delay.
+const DELAY_WEIGHT: f64 = 0.2;
+
+/// What is known of a router besides its incarnation.
 #[derive(Clone, Debug)]
 struct Peer {
     name: String,
     address: SocketAddr,
-    /// The latest epoch that its start is known to have been in.
-    epoch: Option<u32>,
-    /// The same, by whoever may mean another start of it: good for nothing but that it is not silent.
-    loosely: Option<u32>,
-    /// When there was last news of it, moved on by this router's own standstills; from then on counts the silence.
-    heard_at: Millis,
-    /// How late news of it usually are: from when this router entered the epoch that they tell of.
-    late: Millis,
-    direct_at: Option<Millis>,
-    answered_at: Millis,
-    /// When others were first heard to say that its life is gone.
-    marked_at: Millis,
-    /// Why it is gone, where that is new and not told yet.
-    verdict: Option<String>,
-    /// This router has given its life up, or the first one that it will hear of.
-    gave_up: bool,
+    /// The latest epoch that its known start has certainly been in.
+    last_epoch: Option<u32>,
+    /// The same, also by routers that may mean another start of it: this only shows that the router is not
+    /// silent.
+    possible_epoch: Option<u32>,
+    /// When it was last heard of, moved forward by the stalls of this process. Silence is measured from here.
+    last_heard_at: Millis,
+    /// How late information about it usually arrives, in ms from when this router entered the epoch
+    /// concerned.
+    usual_delay_ms: Millis,
+    last_direct_at: Option<Millis>,
+    last_reply_at: Millis,
+    /// When another router first reported its incarnation gone.
+    reported_gone_at: Millis,
+    /// Why it is gone, if that has not been announced yet.
+    gone_reason: Option<String>,
+    /// This router has voted its incarnation failed, or will do so for the first one that it hears of.
+    voted_failed: bool,
     state: State,
-    since: Millis,
+    state_since: Millis,
     why: String,
 }
 
-/// One router's picture of a large fleet.
+/// The membership of a large fleet as one router sees it.
 #[derive(Clone, Debug)]
-pub struct Rolls {
-    set: Settings,
-    /// This router's place in the roster.
+pub struct EpochMembership {
+    settings: Settings,
+    /// This router's index in the roster.
     me: usize,
     start: u64,
-    roster: u32,
+    roster_hash: u32,
     peers: Vec<Peer>,
-    book: Book,
-    calls: Calls,
-    own: Own,
-    /// What was last told of its standing.
-    says: (QuorumStatus, u32),
-    patience: Patience,
+    incarnations: IncarnationTable,
+    ballots: Ballots,
+    quorum: EpochQuorum,
+    /// The quorum status and term that were last announced as an effect.
+    notified_status: (QuorumStatus, u32),
+    local_health: LocalHealth,
     epoch: u32,
-    /// How late news are, usually: as [`Peer::late`], of all.
-    late: Millis,
-    /// When this router's standing last began, and when its last standstill ended.
-    stood_since: Millis,
-    awake_since: Millis,
-    /// When a start that was new here was last heard of.
-    start_learned: Millis,
+    /// How late information usually arrives, in ms: [`Peer::usual_delay_ms`] over all routers.
+    usual_delay_ms: Millis,
+    /// When this router's quorum last began, and when its last stall ended.
+    quorum_since: Millis,
+    resumed_at: Millis,
+    /// When a new start of another router was last learned.
+    last_new_start_at: Millis,
     roles: Roles,
-    /// When a hub tells the clerks, and when this router begins the next epoch.
-    hub_at: Option<Millis>,
-    ends_at: Millis,
-    /// Datagrams that leave within the epoch, and for whom; none: anybody. Two at most.
-    later: VecDeque<(Millis, Option<usize>)>,
-    judge_at: Millis,
-    allowance: Allowance,
-    /// Whom an answer out of turn is owed, and of which blocks: bounded by [`MOST_OWED`].
-    owed: Vec<(usize, Vec<bool>)>,
+    /// When an aggregator sends to the coordinators, and when this router begins the next epoch.
+    aggregate_at: Option<Millis>,
+    epoch_ends_at: Millis,
+    /// Datagrams that are due within the epoch, and their targets; none: a random router. At most two.
+    scheduled_sends: VecDeque<(Millis, Option<usize>)>,
+    next_check_at: Millis,
+    rate_limiter: RateLimiter,
+    /// Routers to which an extra reply is due, and the blocks that each lacks: bounded by
+    /// [`MAX_PENDING_REPLIES`].
+    pending_replies: Vec<(usize, Vec<bool>)>,
     seed: u64,
-    draws: u64,
-    turns: usize,
-    leaves: bool,
-    /// Who is about to be suspected; whether what is sent now asks for an answer; and when that was last done.
-    asks: Vec<usize>,
-    asking: bool,
-    asked_at: Millis,
+    random_draws: u64,
+    datagram_count: usize,
+    leaving: bool,
+    /// Routers about to be suspected; whether the datagrams sent now request a reply; and when probes were
+    /// last sent.
+    to_probe: Vec<usize>,
+    probing: bool,
+    probed_at: Millis,
     effects: Vec<Effect>,
     counts: Counts,
 }
 
-const MOST_OWED: usize = 16;
+const MAX_PENDING_REPLIES: usize = 16;
 
-impl Rolls {
-    /// One that begins now; the settings' names are [good](Settings::named).
-    pub fn new(set: Settings, name: &str, start: u64, now: Millis, seed: u64) -> Self {
+impl EpochMembership {
+    /// Creates the membership of a router that starts now; see [`Fleet::new`](super::Fleet::new). The name
+    /// must have passed [`Settings::check_name`].
+    pub fn new(settings: Settings, name: &str, start: u64, now: Millis, seed: u64) -> Self {
         let peer = |name: &str, address: SocketAddr| Peer {
             name: name.to_owned(),
             address,
-            epoch: None,
-            loosely: None,
-            heard_at: now,
-            late: 0.0,
-            direct_at: None,
-            answered_at: f64::NEG_INFINITY,
-            marked_at: now,
-            verdict: None,
-            gave_up: false,
+            last_epoch: None,
+            possible_epoch: None,
+            last_heard_at: now,
+            usual_delay_ms: 0.0,
+            last_direct_at: None,
+            last_reply_at: f64::NEG_INFINITY,
+            reported_gone_at: now,
+            gone_reason: None,
+            voted_failed: false,
             state: State::Joining,
-            since: now,
+            state_since: now,
             why: "not heard yet".to_owned(),
         };
-        let mut peers: Vec<Peer> = set.peers.iter().map(|at| peer(&at.name, at.address)).collect();
-        peers.push(peer(name, set.listen));
-        // By their ids: the same order at all, whatever the files' order.
+        let mut peers: Vec<Peer> =
+            settings.peers.iter().map(|other| peer(&other.name, other.address)).collect();
+        peers.push(peer(name, settings.listen));
+        // Sorted by id: all routers have the same order, whatever the order in their operator's files.
         peers.sort_by_key(|peer| RouterId::of(&peer.name));
         let me = peers.iter().position(|peer| peer.name == name).unwrap_or_default();
         let ids: Vec<u8> = peers.iter().flat_map(|peer| RouterId::of(&peer.name).0).collect();
         let count = peers.len();
-        let mut rolls = Self {
+        let mut membership = Self {
             me,
             start: start.max(1),
-            roster: XxHash64::oneshot(3, &ids) as u32,
+            roster_hash: XxHash64::oneshot(3, &ids) as u32,
             peers,
-            book: Book::new(count, now),
-            calls: Calls::default(),
-            own: Own::new(set.lease_ms(), now),
-            says: (QuorumStatus::Joining, 0),
-            patience: Patience::new(set.turn_ms(), set.period_ms, now),
+            incarnations: IncarnationTable::new(count, now),
+            ballots: Ballots::default(),
+            quorum: EpochQuorum::new(settings.lease_ms(), now),
+            notified_status: (QuorumStatus::Joining, 0),
+            local_health: LocalHealth::new(settings.tick_ms(), settings.period_ms, now),
             epoch: 0,
-            late: 0.0,
-            stood_since: now,
-            awake_since: now,
-            start_learned: now,
+            usual_delay_ms: 0.0,
+            quorum_since: now,
+            resumed_at: now,
+            last_new_start_at: now,
             roles: Roles::default(),
-            hub_at: None,
-            ends_at: now,
-            later: VecDeque::new(),
-            judge_at: now,
-            allowance: Allowance::new(now),
-            owed: Vec::new(),
+            aggregate_at: None,
+            epoch_ends_at: now,
+            scheduled_sends: VecDeque::new(),
+            next_check_at: now,
+            rate_limiter: RateLimiter::new(now),
+            pending_replies: Vec::new(),
             seed,
-            draws: 0,
-            turns: 0,
-            leaves: false,
-            asks: Vec::new(),
-            asking: false,
-            asked_at: f64::NEG_INFINITY,
+            random_draws: 0,
+            datagram_count: 0,
+            leaving: false,
+            to_probe: Vec::new(),
+            probing: false,
+            probed_at: f64::NEG_INFINITY,
             effects: Vec::new(),
             counts: Counts::default(),
-            set,
+            settings,
         };
-        rolls.tell_own(now);
-        rolls.own.entered(0, now);
-        // All of a fleet that starts at once do so at other times.
-        rolls.ends_at = now + rolls.set.period_ms * rolls.part();
-        rolls
+        membership.publish_own_incarnation(now);
+        membership.quorum.record_epoch(0, now);
+        // Routers that start at the same time end their first epoch at different times.
+        membership.epoch_ends_at = now + membership.settings.period_ms * membership.random_fraction();
+        membership
     }
 
-    /// What the file says.
+    /// Returns the settings of the fleet.
     pub fn settings(&self) -> &Settings {
-        &self.set
+        &self.settings
     }
 
-    /// When the next turn is due.
+    /// Returns when [`tick`](Self::tick) is to be called next.
     pub fn next_deadline(&self) -> Millis {
-        let later = self.later.front().map(|(at, _)| *at);
-        self.judge_at
-            .min(self.ends_at)
-            .min(later.or(self.hub_at).unwrap_or(f64::INFINITY))
-            .min(self.hub_at.unwrap_or(f64::INFINITY))
+        let later = self.scheduled_sends.front().map(|(at, _)| *at);
+        self.next_check_at
+            .min(self.epoch_ends_at)
+            .min(later.or(self.aggregate_at).unwrap_or(f64::INFINITY))
+            .min(self.aggregate_at.unwrap_or(f64::INFINITY))
     }
 
-    /// What has come and gone.
+    /// Returns the counters of datagrams.
     pub fn counts(&self) -> &Counts {
         &self.counts
     }
 
-    /// This start, as it is now known to others.
+    /// Returns this router's start number, which may have been raised since the router started.
     pub fn start(&self) -> u64 {
         self.start
     }
 
-    /// What this router can say of itself at this very moment.
+    /// Returns this router's quorum status and term at `now`.
     pub fn quorum_status(&self, now: Millis) -> (QuorumStatus, u32) {
-        (self.own.says(now), self.own.term())
+        (self.quorum.status(now), self.quorum.term())
     }
 
-    /// Takes the effects so far.
+    /// Returns and clears the pending effects.
     pub fn take_effects(&mut self) -> Vec<Effect> {
         std::mem::take(&mut self.effects)
     }
 
-    fn draw(&mut self) -> u64 {
-        self.draws += 1;
-        XxHash64::oneshot(self.seed, &self.draws.to_le_bytes())
+    fn random_u64(&mut self) -> u64 {
+        self.random_draws += 1;
+        XxHash64::oneshot(self.seed, &self.random_draws.to_le_bytes())
     }
 
-    fn part(&mut self) -> f64 {
-        (self.draw() >> 11) as f64 / (1u64 << 53) as f64
+    fn random_fraction(&mut self) -> f64 {
+        (self.random_u64() >> 11) as f64 / (1u64 << 53) as f64
     }
 
-    /// A datagram. One that is refused is counted and changes nothing.
+    /// Handles a received datagram. A rejected datagram is counted and changes nothing.
     pub fn receive(&mut self, now: Millis, bytes: &[u8]) -> Result<(), RejectReason> {
-        let taken = self.take(now, bytes);
-        match taken {
+        let result = self.process(now, bytes);
+        match result {
             Ok(()) => self.counts.accepted += 1,
             Err(why) => *self.counts.rejected.entry(why).or_default() += 1,
         }
-        taken
+        result
     }
 
-    fn take(&mut self, now: Millis, bytes: &[u8]) -> Result<(), RejectReason> {
-        let packet = wire::read(&self.set.fleet, bytes)?;
-        let (from, all) = (usize::from(packet.from), self.peers.len());
-        if packet.roster != self.roster || usize::from(packet.to) != self.me || from >= all || from == self.me
+    fn process(&mut self, now: Millis, bytes: &[u8]) -> Result<(), RejectReason> {
+        let packet = wire::decode(&self.settings.fleet, bytes)?;
+        let (from, router_count) = (usize::from(packet.from), self.peers.len());
+        if packet.roster_hash != self.roster_hash
+            || usize::from(packet.to) != self.me
+            || from >= router_count
+            || from == self.me
         {
-            return Err(RejectReason::Stranger);
+            return Err(RejectReason::UnknownRouter);
         }
-        let lags = packet.lags.read(all).ok_or(RejectReason::Torn)?;
+        let lags = packet.lags.decode(router_count).ok_or(RejectReason::Corrupt)?;
         let own = packet.own;
-        let lives = packet.lives.read(own);
-        if !self.book.fits(&packet.digests) || lives.iter().any(|one| usize::from(one.of) >= all) {
-            return Err(RejectReason::Torn);
+        let incarnations = packet.incarnations.decode(own);
+        if !self.incarnations.has_valid_length(&packet.block_digests)
+            || incarnations.iter().any(|one| usize::from(one.router) >= router_count)
+        {
+            return Err(RejectReason::Corrupt);
         }
-        // What comes from an earlier start, or from long ago, says nothing any more.
-        let known = self.book.life(from);
+        // A datagram of an earlier start or term is outdated.
+        let known = self.incarnations.get(from);
         if (own.start, own.term) < (known.start, known.term) {
             return Err(RejectReason::Stale);
         }
-        self.settle(now); // What has ended by now has ended before anything else is known.
-        self.allowance.refill(now);
-        self.learn(Entry { of: packet.from, life: own }, now);
-        lives.into_iter().for_each(|entry| self.learn(entry, now));
-        self.peers[from].direct_at = Some(now);
-        let same = self.book.compare(&packet.digests).unwrap_or_default();
-        let mut news = false;
-        for (of, step) in lags.iter().enumerate() {
-            let Some(ago) = Lags::epochs(*step) else { continue };
-            if of != self.me && of != from {
-                let epoch = packet.epoch.saturating_sub(ago);
-                news |= !self.stale(epoch, now) && self.hear(of, epoch, same[of / incarnations::BLOCK], now);
+        self.update_quorum(now); // A lease that has expired must end before the datagram can extend it.
+        self.rate_limiter.refill(now);
+        self.merge_incarnation(IncarnationEntry { router: packet.from, incarnation: own }, now);
+        incarnations.into_iter().for_each(|entry| self.merge_incarnation(entry, now));
+        self.peers[from].last_direct_at = Some(now);
+        let same = self.incarnations.compare_blocks(&packet.block_digests).unwrap_or_default();
+        let mut is_news = false;
+        for (router, step) in lags.iter().enumerate() {
+            let Some(epochs_ago) = EpochLags::max_epochs(*step) else { continue };
+            if router != self.me && router != from {
+                let epoch = packet.epoch.saturating_sub(epochs_ago);
+                is_news |= !self.is_stale(epoch, now)
+                    && self.record_heard(router, epoch, same[router / incarnations::BLOCK_ROUTERS], now);
             }
         }
-        news |= !self.stale(packet.epoch, now) && self.hear(from, packet.epoch, true, now);
-        for told in &packet.rolls {
-            if let Some(key) = self.calls.told(told, all, self.epoch.max(packet.epoch)) {
-                self.review(key, now);
+        is_news |= !self.is_stale(packet.epoch, now) && self.record_heard(from, packet.epoch, true, now);
+        for message in &packet.ballots {
+            if let Some(key) = self.ballots.receive(message, router_count, self.epoch.max(packet.epoch)) {
+                self.process_ballot(key, now);
             }
         }
-        if !news && packet.epoch + KEPT < self.epoch {
-            return Err(RejectReason::Stale); // Said before, or heard before.
+        if !is_news && packet.epoch + KEPT_EPOCHS < self.epoch {
+            return Err(RejectReason::Stale); // Outdated, or received before.
         }
-        // Whoever lags behind, or alone knows something else, is told what it doesn't know.
-        let differs = self.book.lacks(&packet.digests);
+        // A router that lags behind, or is the only one that knows something else, is sent what it lacks.
+        let blocks_to_send = self.incarnations.blocks_to_send(&packet.block_digests);
         let behind = packet.epoch + 2 < self.epoch;
-        if (behind || differs.contains(&true)) && now - self.peers[from].answered_at >= ANSWER_MS {
-            let due = self.owed.iter().all(|(of, _)| *of != from) && self.owed.len() < MOST_OWED;
-            if due {
-                self.owed.push((from, differs));
+        if (behind || blocks_to_send.contains(&true))
+            && now - self.peers[from].last_reply_at >= MIN_REPLY_INTERVAL_MS
+        {
+            let may_queue = self.pending_replies.iter().all(|(router, _)| *router != from)
+                && self.pending_replies.len() < MAX_PENDING_REPLIES;
+            if may_queue {
+                self.pending_replies.push((from, blocks_to_send));
             }
         }
         if packet.epoch > self.epoch {
-            self.enter(packet.epoch, now);
+            self.enter_epoch(packet.epoch, now);
         }
-        self.settle(now);
-        // Who asks is answered at once, from the epoch that it is in.
-        if packet.asks && now - self.peers[from].answered_at >= ANSWER_MS {
-            self.peers[from].answered_at = now;
+        self.update_quorum(now);
+        // A request for a reply is answered at once, with the epoch that this router is in.
+        if packet.requests_reply && now - self.peers[from].last_reply_at >= MIN_REPLY_INTERVAL_MS {
+            self.peers[from].last_reply_at = now;
             self.send(from, now, None);
         }
-        self.answer(now);
+        self.send_replies(now);
         Ok(())
     }
 
-    /// A life of a router.
-    fn learn(&mut self, entry: Entry, now: Millis) {
-        let (of, life) = (usize::from(entry.of), entry.life);
-        if of == self.me {
-            self.learn_own(life, now);
+    /// Merges an incarnation of a router.
+    fn merge_incarnation(&mut self, entry: IncarnationEntry, now: Millis) {
+        let (router, incarnation) = (usize::from(entry.router), entry.incarnation);
+        if router == self.me {
+            self.merge_own_incarnation(incarnation, now);
             return;
         }
-        let unheard = self.book.life(of).start == 0;
-        let Some(learned) = self.book.learn(of, life, now) else { return };
-        let peer = &mut self.peers[of];
-        if learned != Learned::Mark {
-            // One that was given up unheard may be known to others in this very life: they are told that it is doubted.
-            let doubts = unheard && peer.gave_up;
-            (peer.gave_up, peer.verdict) = (doubts, None);
-            if learned == Learned::Start {
-                self.start_learned = now;
-                (peer.epoch, peer.loosely, peer.late) = (None, None, 0.0);
+        let unheard = self.incarnations.get(router).start == 0;
+        let Some(update) = self.incarnations.merge(router, incarnation, now) else { return };
+        let peer = &mut self.peers[router];
+        if update != IncarnationUpdate::NewStatus {
+            // A router that this one voted failed without hearing of it may be known to others in this very
+            // incarnation: marks it as doubted for them.
+            let doubts = unheard && peer.voted_failed;
+            (peer.voted_failed, peer.gone_reason) = (doubts, None);
+            if update == IncarnationUpdate::NewStart {
+                self.last_new_start_at = now;
+                (peer.last_epoch, peer.possible_epoch, peer.usual_delay_ms) = (None, None, 0.0);
             }
             if doubts {
-                self.book.mark(of, Mark::Doubted, now);
+                self.incarnations.set_status(router, IncarnationStatus::Doubted, now);
             }
         }
-        match (self.book.life(of).mark, learned) {
-            (Mark::Left, _) => self.change(of, State::Left, now, "it has said that it ends".to_owned()),
-            // Told at a later turn, when all that waits has been read: it may be back since.
-            (Mark::Gone, _) => self.peers[of].marked_at = now,
-            (_, Learned::Start) if !unheard => {
-                self.peers[of].heard_at = now;
-                self.change(of, State::Alive, now, "it has started anew".to_owned());
+        match (self.incarnations.get(router).status, update) {
+            (IncarnationStatus::Left, _) => {
+                self.set_state(router, State::Left, now, "it has said that it ends".to_owned())
             }
-            (_, Learned::Start) => {
-                self.peers[of].heard_at = now;
-                self.change(of, State::Alive, now, "heard for the first time".to_owned());
+            // Announced at a later tick, once all waiting datagrams have been read: the router may have
+            // returned since.
+            (IncarnationStatus::Gone, _) => self.peers[router].reported_gone_at = now,
+            (_, IncarnationUpdate::NewStart) if !unheard => {
+                self.peers[router].last_heard_at = now;
+                self.set_state(router, State::Alive, now, "it has started anew".to_owned());
             }
-            (_, Learned::Term) if self.peers[of].state == State::Gone => {
-                self.peers[of].heard_at = now;
-                self.change(of, State::Alive, now, "it is back in a new term".to_owned());
+            (_, IncarnationUpdate::NewStart) => {
+                self.peers[router].last_heard_at = now;
+                self.set_state(router, State::Alive, now, "heard for the first time".to_owned());
+            }
+            (_, IncarnationUpdate::NewTerm) if self.peers[router].state == State::Gone => {
+                self.peers[router].last_heard_at = now;
+                self.set_state(router, State::Alive, now, "it is back in a new term".to_owned());
             }
             _ => {}
         }
     }
 
-    /// What others say of this router.
-    fn learn_own(&mut self, life: Life, now: Millis) {
-        if life.start > self.start {
-            // Another process has this router's name with a later start: an earlier process, where the Unix clock was set
-            // back since, or one that should not be. Whoever still speaks takes a start above it.
-            self.start = life.start.saturating_add(1);
-            self.own.renamed(now);
+    /// Handles what others say of this router's own incarnation.
+    fn merge_own_incarnation(&mut self, incarnation: Incarnation, now: Millis) {
+        if incarnation.start > self.start {
+            // Another process uses this router's name with a later start: an earlier process if the Unix
+            // clock was set back since, or a process that should not exist. The one that still runs takes a
+            // start number above it.
+            self.start = incarnation.start.saturating_add(1);
+            self.quorum.start_raised(now);
             self.effects.push(Effect::StartRaised(self.start));
-            self.tell_own(now);
-        } else if life.start == self.start
-            && life.term == self.own.wanted()
-            && life.mark > Mark::Here
-            && !self.leaves
+            self.publish_own_incarnation(now);
+        } else if incarnation.start == self.start
+            && incarnation.term == self.quorum.advertised_term()
+            && incarnation.status > IncarnationStatus::Present
+            && !self.leaving
         {
-            self.own.ask_for(life.term + 1, now);
-            self.tell_own(now);
+            self.quorum.advertise_term(incarnation.term + 1, now);
+            self.publish_own_incarnation(now);
         }
     }
 
-    /// This router's own life is told, as it is now.
-    fn tell_own(&mut self, now: Millis) {
-        let mark = if self.leaves { Mark::Left } else { Mark::Here };
-        let life = Life { start: self.start, term: self.own.wanted(), mark };
-        self.book.learn(self.me, life, now);
+    /// Puts this router's current incarnation into the table, from which it is sent to others.
+    fn publish_own_incarnation(&mut self, now: Millis) {
+        let status = if self.leaving { IncarnationStatus::Left } else { IncarnationStatus::Present };
+        let incarnation = Incarnation { start: self.start, term: self.quorum.advertised_term(), status };
+        self.incarnations.merge(self.me, incarnation, now);
     }
 
-    /// A router was in this epoch. `surely`: in this start of it; else it only is not silent.
-    fn hear(&mut self, of: usize, epoch: u32, surely: bool, now: Millis) -> bool {
-        let peer = &mut self.peers[of];
-        if self.book.life(of).start == 0 {
+    /// Records that a router was in an epoch, and returns true if that is new. `certain`: in its known start;
+    /// otherwise it is only known not to be silent.
+    fn record_heard(&mut self, router: usize, epoch: u32, certain: bool, now: Millis) -> bool {
+        let peer = &mut self.peers[router];
+        if self.incarnations.get(router).start == 0 {
             return false;
         }
-        // Words that may be about the start before bring no news again and again: they end where that one ended.
-        if surely && peer.epoch.is_none_or(|known| epoch > known) {
-            peer.epoch = Some(epoch);
-        } else if surely || peer.loosely.is_some_and(|known| epoch <= known) {
+        // Uncertain information, which may be about an earlier start, counts once for each epoch: otherwise
+        // it would go on renewing the sign of life after that start has ended.
+        if certain && peer.last_epoch.is_none_or(|known| epoch > known) {
+            peer.last_epoch = Some(epoch);
+        } else if certain || peer.possible_epoch.is_some_and(|known| epoch <= known) {
             return false;
         }
-        // What is sure begins the silence anew even so: the words before may have been about an earlier start.
-        if !surely && peer.loosely.is_some_and(|known| epoch <= known) {
+        // Certain information restarts the silence even if the epoch is not new: the uncertain information
+        // before it may have been about an earlier start.
+        if !certain && peer.possible_epoch.is_some_and(|known| epoch <= known) {
             return true;
         }
-        let late = self.own.entered_at(epoch).map_or(0.0, |at| now - at).min(self.set.suspect_ms());
-        self.late += (late - self.late) * LATE_PART / self.set.routers() as f64;
-        peer.loosely = peer.loosely.max(Some(epoch));
-        peer.heard_at = now;
-        peer.late += LATE_PART * (late - peer.late);
-        let back =
-            matches!(peer.state, State::Suspect | State::Joining) && self.book.life(of).mark < Mark::Gone;
-        // What is long past doesn't show that it is there.
-        if back && self.overdue(of, now) < self.limit(of) {
-            self.change(of, State::Alive, now, "heard again".to_owned());
+        let delay_ms =
+            self.quorum.entered_at(epoch).map_or(0.0, |at| now - at).min(self.settings.suspect_after_ms());
+        self.usual_delay_ms +=
+            (delay_ms - self.usual_delay_ms) * DELAY_WEIGHT / self.settings.router_count() as f64;
+        peer.possible_epoch = peer.possible_epoch.max(Some(epoch));
+        peer.last_heard_at = now;
+        peer.usual_delay_ms += DELAY_WEIGHT * (delay_ms - peer.usual_delay_ms);
+        let may_return = matches!(peer.state, State::Suspect | State::Joining)
+            && self.incarnations.get(router).status < IncarnationStatus::Gone;
+        // Information about an epoch long past doesn't show that the router is alive now.
+        if may_return && self.missing_for_ms(router, now) < self.suspect_limit_ms(router) {
+            self.set_state(router, State::Alive, now, "heard again".to_owned());
         }
         true
     }
 
-    /// Whether words of an epoch come so much later than most that they are let pass by: of one that has died since they would
-    /// say nothing, but begin its silence anew, at each router at another time.
-    fn stale(&self, epoch: u32, now: Millis) -> bool {
-        let usual = 2.0 * (self.late - self.set.period_ms).max(0.0);
-        self.own.entered_at(epoch).is_some_and(|at| now - at > usual + STALE * self.set.period_ms)
+    /// Whether information about an epoch arrives so much later than most that it is ignored. It would prove
+    /// nothing about a router that has died since, but restart its silence, at each router at another time.
+    fn is_stale(&self, epoch: u32, now: Millis) -> bool {
+        let usual = 2.0 * (self.usual_delay_ms - self.settings.period_ms).max(0.0);
+        self.quorum
+            .entered_at(epoch)
+            .is_some_and(|at| now - at > usual + STALE_PERIODS * self.settings.period_ms)
     }
 
-    /// Whether one is to be given up within so many periods, if there are no news of it.
-    fn soon(&self, of: usize, periods: f64, now: Millis) -> bool {
-        let peer = &self.peers[of];
+    /// Whether a router is due to be voted failed within so many periods if nothing more is heard of it.
+    fn vote_due_within(&self, router: usize, periods: f64, now: Millis) -> bool {
+        let peer = &self.peers[router];
         peer.state == State::Suspect
-            && now - peer.heard_at >= self.set.refuse_ms() - periods * self.set.period_ms
+            && now - peer.last_heard_at >= self.settings.refuse_after_ms() - periods * self.settings.period_ms
     }
 
-    /// For how long one has been missed: since this router entered the epoch after the last that it is known to have been in.
-    fn overdue(&self, of: usize, now: Millis) -> Millis {
-        let peer = &self.peers[of];
-        let since = match peer.loosely {
-            Some(epoch) => self.own.entered_at(epoch.saturating_add(1)),
-            None => Some(peer.heard_at),
+    /// Returns for how many ms a router has been missing: since this router entered the epoch after the last
+    /// one that it is known to have been in.
+    fn missing_for_ms(&self, router: usize, now: Millis) -> Millis {
+        let peer = &self.peers[router];
+        let missing_since = match peer.possible_epoch {
+            Some(epoch) => self.quorum.entered_at(epoch.saturating_add(1)),
+            None => Some(peer.last_heard_at),
         };
-        since.map_or(0.0, |since| now - since.max(self.awake_since))
+        missing_since.map_or(0.0, |since| now - since.max(self.resumed_at))
     }
 
-    /// For how long one may be missed before it is suspected: longer where news of it usually come later, as through a lossy
-    /// net, and where this router itself runs late.
-    fn limit(&self, of: usize) -> Millis {
-        let usual = (self.peers[of].late - self.set.period_ms).clamp(0.0, self.set.suspect_ms() / 2.0);
-        self.set.suspect_ms() + usual + self.patience.late_ms()
+    /// Returns for how many ms a router may be missing before it is suspected: longer where information about
+    /// it usually arrives later, as through a lossy network, and when this process itself runs late.
+    fn suspect_limit_ms(&self, router: usize) -> Millis {
+        let usual = (self.peers[router].usual_delay_ms - self.settings.period_ms)
+            .clamp(0.0, self.settings.suspect_after_ms() / 2.0);
+        self.settings.suspect_after_ms() + usual + self.local_health.lateness_ms()
     }
 
-    fn change(&mut self, of: usize, state: State, now: Millis, why: String) {
-        let life = self.book.life(of);
-        let peer = &mut self.peers[of];
+    fn set_state(&mut self, router: usize, state: State, now: Millis, why: String) {
+        let incarnation = self.incarnations.get(router);
+        let peer = &mut self.peers[router];
         let states = (peer.state, state);
         if states.0 == state && peer.why == why {
             return;
         }
-        (peer.state, peer.since, peer.why) = (state, now, why.clone());
+        (peer.state, peer.state_since, peer.why) = (state, now, why.clone());
         let name = peer.name.clone();
-        self.effects.push(Effect::MemberChanged { name, start: life.start, term: life.term, states, why });
-    }
-
-    /// A roll that is new here, or has new names: signed if it may be, and what follows from it.
-    fn review(&mut self, key: Key, now: Millis) {
-        let Some(roll) = self.calls.get(&key) else { return };
-        if !roll.signed.contains(self.me) {
-            let mut gave_up = FixedBitSet::with_capacity(self.peers.len());
-            (0..self.peers.len()).filter(|of| self.peers[*of].gave_up).for_each(|of| gave_up.insert(of));
-            // Whom it is about to give up it waits for.
-            let soon = |of: usize| !gave_up.contains(of) && self.soon(of, f64::from(WAITS), now);
-            let waits = self.epoch < key.1 + WAITS && roll.set.ones().any(soon);
-            if let Some(without) = ballots::may_sign(&key, roll, &self.book, &gave_up, waits) {
-                self.hear_roll(key, &without, now);
-                self.calls.sign(&key, self.me, &without);
+        self.effects.push(Effect::MemberChanged {
+            name,
+            start: incarnation.start,
+            term: incarnation.term,
+            states,
+            why,
+        });
+    }
+
+    /// Handles a ballot that is new here or has new signatures: signs it if that is allowed, and evaluates
+    /// it.
+    fn process_ballot(&mut self, key: BallotKey, now: Millis) {
+        let Some(ballot) = self.ballots.get(&key) else { return };
+        if !ballot.signers.contains(self.me) {
+            let mut voted_failed = FixedBitSet::with_capacity(self.peers.len());
+            (0..self.peers.len())
+                .filter(|router| self.peers[*router].voted_failed)
+                .for_each(|router| voted_failed.insert(router));
+            // A signature waits for members that this router is about to vote failed.
+            let vote_soon = |router: usize| {
+                !voted_failed.contains(router)
+                    && self.vote_due_within(router, f64::from(SIGN_WAIT_EPOCHS), now)
+            };
+            let may_wait = self.epoch < key.1 + SIGN_WAIT_EPOCHS && ballot.members.ones().any(vote_soon);
+            if let Some(exceptions) =
+                ballots::may_sign(&key, ballot, &self.incarnations, &voted_failed, may_wait)
+            {
+                self.record_ballot_members(key, &exceptions, now);
+                self.ballots.sign(&key, self.me, &exceptions);
             }
         }
         match key.0 {
-            Kind::Heard => self.certify(key, now),
-            Kind::GivenUp => self.verdict(key, now),
+            BallotKind::Liveness => self.check_liveness_ballot(key, now),
+            BallotKind::Failure => self.check_failure_ballot(key, now),
         }
     }
 
-    fn review_all(&mut self, kind: Kind, now: Millis) {
-        let keys: Vec<Key> = self.calls.of(kind).map(|(key, _)| *key).collect();
-        keys.into_iter().for_each(|key| self.review(key, now));
+    fn process_ballots(&mut self, kind: BallotKind, now: Millis) {
+        let keys: Vec<BallotKey> = self.ballots.of_kind(kind).map(|(key, _)| *key).collect();
+        keys.into_iter().for_each(|key| self.process_ballot(key, now));
     }
 
-    /// Whoever signs that these were in an epoch knows it from now on, if it did not before: so its silence of each began after
-    /// that one had entered the epoch.
-    fn hear_roll(&mut self, key: Key, without: &FixedBitSet, now: Millis) {
-        if key.0 == Kind::Heard {
-            let Some(roll) = self.calls.get(&key) else { return };
-            let since = roll.since;
-            let these = roll.set.ones().filter(|of| *of != self.me && !without.contains(*of));
-            for of in these.collect::<Vec<usize>>() {
-                self.hear(of, since, true, now);
+    /// Records the members of a liveness ballot before signing it: they were in the ballot's epoch, so the
+    /// silence that this router measures of each began after it had entered that epoch.
+    fn record_ballot_members(&mut self, key: BallotKey, exceptions: &FixedBitSet, now: Millis) {
+        if key.0 == BallotKind::Liveness {
+            let Some(ballot) = self.ballots.get(&key) else { return };
+            let since_epoch = ballot.since_epoch;
+            let members =
+                ballot.members.ones().filter(|router| *router != self.me && !exceptions.contains(*router));
+            for router in members.collect::<Vec<usize>>() {
+                self.record_heard(router, since_epoch, true, now);
             }
         }
     }
 
-    /// Whose names count for a term that began then: a start that became known later may have given it up, before.
-    fn counted(&self, begun: Millis) -> impl Fn(&usize) -> bool + '_ {
-        move |of| *of == self.me || self.book.life(*of).start > 0 && self.book.start_at(*of) <= begun
+    /// Returns which signers count for a term that was first advertised at `advertised_since`: a start that
+    /// became known later may belong to a router that voted the term failed before.
+    fn counts_signer(&self, advertised_since: Millis) -> impl Fn(&usize) -> bool + '_ {
+        move |router| {
+            *router == self.me
+                || self.incarnations.get(*router).start > 0
+                    && self.incarnations.start_learned_at(*router) <= advertised_since
+        }
     }
 
-    /// Whether a majority has heard this router, by that roll.
-    fn certify(&mut self, key: Key, now: Millis) {
-        let Some(roll) = self.calls.get(&key) else { return };
-        if !roll.set.contains(self.me)
-            || roll.without.contains(self.me)
-            || roll.signed.count_ones(..) < self.set.majority()
+    /// Extends this router's quorum if a majority has heard it according to this ballot.
+    fn check_liveness_ballot(&mut self, key: BallotKey, now: Millis) {
+        let Some(ballot) = self.ballots.get(&key) else { return };
+        if !ballot.members.contains(self.me)
+            || ballot.exceptions.contains(self.me)
+            || ballot.signers.count_ones(..) < self.settings.majority()
         {
             return;
         }
-        if roll.digest != self.book.digest(&roll.set) {
+        if ballot.start_digest != self.incarnations.start_digest(&ballot.members) {
             return;
         }
-        let names = roll.signed.ones().filter(self.counted(self.own.begun())).count();
-        if names >= self.set.majority() {
-            self.own.signed(roll.since, now);
+        let signer_count =
+            ballot.signers.ones().filter(self.counts_signer(self.quorum.advertised_since())).count();
+        if signer_count >= self.settings.majority() {
+            self.quorum.confirm(ballot.since_epoch, now);
         }
     }
 
-    /// Whether so many have given up all in a roll that the rest is no majority.
-    fn verdict(&mut self, key: Key, now: Millis) {
-        let Some(roll) = self.calls.get(&key) else { return };
-        let names = roll.signed.count_ones(..);
-        if names < self.set.blocking() || roll.digest != self.book.digest(&roll.set) {
+    /// Marks the members of a failure ballot as gone if so many have signed that the rest is no majority.
+    fn check_failure_ballot(&mut self, key: BallotKey, now: Millis) {
+        let Some(ballot) = self.ballots.get(&key) else { return };
+        let signer_count = ballot.signers.count_ones(..);
+        if signer_count < self.settings.blocking_minority()
+            || ballot.start_digest != self.incarnations.start_digest(&ballot.members)
+        {
             return;
         }
-        // Of one that was never heard there is no life to bind: this router must have missed it for as long itself.
-        let binds = |of: &usize| {
-            let life = self.book.life(*of);
-            life.term == roll.terms.term(*of) && (life.start > 0 || self.peers[*of].gave_up)
+        // A router that was never heard of has no incarnation that a signature could bind: this router must
+        // have missed it for as long itself.
+        let binds = |router: &usize| {
+            let incarnation = self.incarnations.get(*router);
+            incarnation.term == ballot.terms.term(*router)
+                && (incarnation.start > 0 || self.peers[*router].voted_failed)
         };
-        let these = roll.set.difference(&roll.without).filter(|of| *of != self.me).filter(binds);
-        let these: Vec<usize> = these.collect();
-        let all = self.set.routers();
-        for of in these {
-            let life = self.book.life(of);
-            if life.mark < Mark::Gone {
-                if life.start > 0 {
-                    self.book.mark(of, Mark::Gone, now);
+        let members =
+            ballot.members.difference(&ballot.exceptions).filter(|router| *router != self.me).filter(binds);
+        let members: Vec<usize> = members.collect();
+        let all = self.settings.router_count();
+        for router in members {
+            let incarnation = self.incarnations.get(router);
+            if incarnation.status < IncarnationStatus::Gone {
+                if incarnation.start > 0 {
+                    self.incarnations.set_status(router, IncarnationStatus::Gone, now);
                 }
-                let silent = now - self.peers[of].heard_at;
-                self.peers[of].verdict = Some(format!(
-                    "{names} of {all} have given it up, {silent:.0} ms after the last word here"
+                let silence_ms = now - self.peers[router].last_heard_at;
+                self.peers[router].gone_reason = Some(format!(
+                    "{signer_count} of {all} have given it up, {silence_ms:.0} ms after the last word here"
                 ));
             }
         }
     }
 
-    /// Takes the time into account in this router's own standing.
-    fn settle(&mut self, now: Millis) {
-        let until = self.own.holds_until();
-        let wanted = self.own.wanted();
-        self.own.settle(now);
-        let (says, term) = self.quorum_status(now);
-        if (says, term) != self.says {
-            if says == QuorumStatus::Majority && self.says.0 != QuorumStatus::Majority {
-                self.stood_since = now;
+    /// Applies the passage of time to this router's quorum, and announces a change.
+    fn update_quorum(&mut self, now: Millis) {
+        let until = self.quorum.quorum_until();
+        let advertised_term = self.quorum.advertised_term();
+        self.quorum.update(now);
+        let (status, term) = self.quorum_status(now);
+        if (status, term) != self.notified_status {
+            if status == QuorumStatus::Majority && self.notified_status.0 != QuorumStatus::Majority {
+                self.quorum_since = now;
             }
-            self.says = (says, term);
-            let ago_ms = if says == QuorumStatus::CutOff { (now - until).max(0.0) } else { 0.0 };
-            let heard_by = (self.heard_by(now), self.set.routers());
-            self.effects.push(Effect::QuorumChanged { status: says, term, ago_ms, heard_by });
+            self.notified_status = (status, term);
+            let ago_ms = if status == QuorumStatus::CutOff { (now - until).max(0.0) } else { 0.0 };
+            let heard_by = (self.heard_by(now), self.settings.router_count());
+            self.effects.push(Effect::QuorumChanged { status, term, ago_ms, heard_by });
         }
-        if wanted != self.own.wanted() {
-            self.tell_own(now);
+        if advertised_term != self.quorum.advertised_term() {
+            self.publish_own_incarnation(now);
         }
     }
 
-    /// How many have signed the latest roll that this router is in, itself among them.
+    /// Returns the most signatures on any recent liveness ballot that lists this router, its own included.
     pub(super) fn heard_by(&self, now: Millis) -> usize {
-        let mine = self.calls.of(Kind::Heard).filter(|(_, roll)| roll.set.contains(self.me));
-        let most = mine.map(|(_, roll)| roll.signed.count_ones(..)).max().unwrap_or(1);
-        if self.own.holds(now) {
-            most.max(self.set.majority())
+        let containing_self =
+            self.ballots.of_kind(BallotKind::Liveness).filter(|(_, ballot)| ballot.members.contains(self.me));
+        let max_signers = containing_self.map(|(_, ballot)| ballot.signers.count_ones(..)).max().unwrap_or(1);
+        if self.quorum.has_quorum(now) {
+            max_signers.max(self.settings.majority())
         } else {
-            most
+            max_signers
         }
     }
 
-    /// A turn: judges the silent, and sends what is due.
+    /// Does the periodic work if it is due: checks for silent routers and sends datagrams.
     pub fn tick(&mut self, now: Millis) {
         if now < self.next_deadline() {
             return;
         }
-        self.settle(now);
-        self.allowance.refill(now);
-        if now >= self.judge_at {
-            if let Some(gap) = self.patience.tick(now) {
-                // While this router stood still it could hear nobody: that silence is its own.
-                self.peers.iter_mut().for_each(|peer| peer.heard_at = (peer.heard_at + gap).min(now));
-                self.awake_since = now;
+        self.update_quorum(now);
+        self.rate_limiter.refill(now);
+        if now >= self.next_check_at {
+            if let Some(gap) = self.local_health.tick(now) {
+                // A stalled process could not hear anyone: the stall does not count as the silence of others.
+                self.peers
+                    .iter_mut()
+                    .for_each(|peer| peer.last_heard_at = (peer.last_heard_at + gap).min(now));
+                self.resumed_at = now;
                 self.effects.push(Effect::Stalled(gap));
             }
-            let turn_ms = self.set.turn_ms();
-            self.judge_at = (self.judge_at + turn_ms).max(now + turn_ms / 2.0);
-            for of in (0..self.peers.len()).filter(|of| *of != self.me).collect::<Vec<_>>() {
-                self.judge(of, now);
+            let tick_ms = self.settings.tick_ms();
+            self.next_check_at = (self.next_check_at + tick_ms).max(now + tick_ms / 2.0);
+            for router in (0..self.peers.len()).filter(|router| *router != self.me).collect::<Vec<_>>() {
+                self.check_peer(router, now);
             }
-            self.review_all(Kind::GivenUp, now);
-            self.ask(now);
-            self.renew(now);
-        }
-        if self.hub_at.is_some_and(|at| now >= at) {
-            self.hub_at = None;
-            for of in self.roles.clerks.clone() {
-                self.send(of, now, None);
+            self.process_ballots(BallotKind::Failure, now);
+            self.probe(now);
+            self.renew_term(now);
+        }
+        if self.aggregate_at.is_some_and(|at| now >= at) {
+            self.aggregate_at = None;
+            for router in self.roles.coordinators.clone() {
+                self.send(router, now, None);
             }
         }
-        self.send_later(now);
-        if now >= self.ends_at {
-            self.call(now);
-            self.enter(self.epoch + 1, now);
+        self.send_scheduled(now);
+        if now >= self.epoch_ends_at {
+            self.open_ballots(now);
+            self.enter_epoch(self.epoch + 1, now);
         }
-        self.answer(now);
+        self.send_replies(now);
     }
 
-    /// Whether another one is silent, and whether it is given up.
-    fn judge(&mut self, of: usize, now: Millis) {
-        if matches!(self.peers[of].state, State::Gone | State::Left) || !self.patience.judges(now) {
+    /// Checks whether a router is silent, whether to vote it failed, and whether it is gone.
+    fn check_peer(&mut self, router: usize, now: Millis) {
+        if matches!(self.peers[router].state, State::Gone | State::Left)
+            || !self.local_health.may_suspect(now)
+        {
             return;
         }
-        // One that comes back, from a cut or a standstill, may hear of an end before it hears of the beginning that came after.
-        let back = self.awake_since.max(self.stood_since);
-        let caught_up_ms = (CAUGHT_UP * self.set.period_ms).min(self.set.suspicion_ms[0]);
-        let tells = self.own.holds(now) && now - back >= caught_up_ms;
-        let verdict = self.peers[of].verdict.take_if(|_| tells);
-        let hearsay = tells
-            && self.book.life(of).mark == Mark::Gone
-            && (self.overdue(of, now) >= self.limit(of)
-                || now - self.peers[of].marked_at >= self.set.suspect_ms());
-        if verdict.is_some() || hearsay {
-            let others = || "others say that so many have given it up that it has no majority".to_owned();
-            self.change(of, State::Gone, now, verdict.unwrap_or_else(others));
+        // A router that returns from a partition or a stall may hear that an incarnation has ended before it
+        // hears of the one that followed.
+        let returned_at = self.resumed_at.max(self.quorum_since);
+        let catch_up_ms = (CATCH_UP_PERIODS * self.settings.period_ms).min(self.settings.suspicion_ms[0]);
+        let may_declare = self.quorum.has_quorum(now) && now - returned_at >= catch_up_ms;
+        let gone_reason = self.peers[router].gone_reason.take_if(|_| may_declare);
+        let reported_gone = may_declare
+            && self.incarnations.get(router).status == IncarnationStatus::Gone
+            && (self.missing_for_ms(router, now) >= self.suspect_limit_ms(router)
+                || now - self.peers[router].reported_gone_at >= self.settings.suspect_after_ms());
+        if gone_reason.is_some() || reported_gone {
+            let default_reason =
+                || "others say that so many have given it up that it has no majority".to_owned();
+            self.set_state(router, State::Gone, now, gone_reason.unwrap_or_else(default_reason));
             return;
         }
-        let (overdue, limit) = (self.overdue(of, now), self.limit(of));
-        if overdue < limit {
-            if overdue > ASK_PART * limit && self.peers[of].state == State::Alive {
-                self.asks.push(of);
+        let (missing_ms, limit) = (self.missing_for_ms(router, now), self.suspect_limit_ms(router));
+        if missing_ms < limit {
+            if missing_ms > PROBE_FRACTION * limit && self.peers[router].state == State::Alive {
+                self.to_probe.push(router);
             }
             return;
         }
-        if self.peers[of].state != State::Suspect {
-            let unheard = self.book.life(of).start == 0;
+        if self.peers[router].state != State::Suspect {
+            let unheard = self.incarnations.get(router).start == 0;
             let why = if unheard {
                 "never heard since this router's start".to_owned()
             } else {
-                format!("not heard for {overdue:.0} ms")
+                format!("not heard for {missing_ms:.0} ms")
             };
-            self.change(of, State::Suspect, now, why);
+            self.set_state(router, State::Suspect, now, why);
         }
-        // One without a majority can't tell who of the two is cut off.
-        let peer = &self.peers[of];
-        if peer.gave_up
-            || !self.own.holds(now)
-            || now - peer.heard_at < self.set.refuse_ms() + self.patience.late_ms()
+        // Without a quorum a router can't tell which of the two is cut off.
+        let peer = &self.peers[router];
+        if peer.voted_failed
+            || !self.quorum.has_quorum(now)
+            || now - peer.last_heard_at < self.settings.refuse_after_ms() + self.local_health.lateness_ms()
         {
             return;
         }
-        self.peers[of].gave_up = true;
-        if self.book.life(of).start > 0 {
-            self.book.mark(of, Mark::Doubted, now);
+        self.peers[router].voted_failed = true;
+        if self.incarnations.get(router).start > 0 {
+            self.incarnations.set_status(router, IncarnationStatus::Doubted, now);
         }
     }
 
-    /// A router that may count too few of the others asks for the next term, in which it counts all that it knows by now.
-    fn renew(&mut self, now: Millis) {
-        let begun = self.own.begun();
-        let settled = now - self.start_learned >= TERM_MS / 2.0 || now - begun >= 3.0 * TERM_MS;
-        if now - begun < TERM_MS || !settled || self.leaves {
+    /// Starts the next term if this router may count too few signers in the current one: in a new term all
+    /// starts that are known by now count.
+    fn renew_term(&mut self, now: Millis) {
+        let advertised_since = self.quorum.advertised_since();
+        let settled =
+            now - self.last_new_start_at >= MIN_TERM_MS / 2.0 || now - advertised_since >= 3.0 * MIN_TERM_MS;
+        if now - advertised_since < MIN_TERM_MS || !settled || self.leaving {
             return;
         }
-        let lives = |of: &usize| self.peers[*of].state == State::Alive || *of == self.me;
-        let living = (0..self.peers.len()).filter(lives);
-        let wanted = self.set.majority() + (SPARE * self.peers.len() as f64) as usize;
-        let (all, counted) = (living.clone().count(), living.filter(self.counted(begun)).count());
-        if counted < wanted.min(all) && all >= self.set.majority() {
-            self.own.ask_for(self.own.wanted() + 1, now);
-            self.tell_own(now);
-        }
-    }
-
-    /// This router begins the next epoch: it calls the rolls of this one.
-    fn call(&mut self, now: Millis) {
-        let mut heard: Vec<Option<u32>> = self.peers.iter().map(|peer| peer.epoch).collect();
-        heard[self.me] = Some(self.epoch);
-        // What not all can know yet is left out, or few could sign: where that leaves no majority all are young.
-        let age = |of: usize| if of == self.me { f64::INFINITY } else { now - self.book.start_at(of) };
-        let (few_ms, all) = (YOUNG * self.set.period_ms, self.peers.len());
-        let many = (0..all).filter(|of| age(*of) < few_ms).count() as f64 / all as f64;
-        let young = |of: usize| age(of) < few_ms * (1.0 + MANY_YOUNG * many);
-        let old = (0..self.peers.len()).filter(|of| !young(*of)).count();
-        let without = |of: usize| self.peers[of].gave_up || old >= self.set.majority() && young(of);
-        // Where words are slow an earlier epoch has more of them: the latest that lacks few.
+        let is_alive = |router: &usize| self.peers[*router].state == State::Alive || *router == self.me;
+        let living = (0..self.peers.len()).filter(is_alive);
+        let wanted = self.settings.majority() + (SPARE_SIGNERS_FRACTION * self.peers.len() as f64) as usize;
+        let (all, counted) =
+            (living.clone().count(), living.filter(self.counts_signer(advertised_since)).count());
+        if counted < wanted.min(all) && all >= self.settings.majority() {
+            self.quorum.advertise_term(self.quorum.advertised_term() + 1, now);
+            self.publish_own_incarnation(now);
+        }
+    }
+
+    /// Opens the ballots of the current epoch, at its end.
+    fn open_ballots(&mut self, now: Millis) {
+        let mut last_epochs: Vec<Option<u32>> = self.peers.iter().map(|peer| peer.last_epoch).collect();
+        last_epochs[self.me] = Some(self.epoch);
+        // Starts that may not be known to all yet are left out, since otherwise few could sign. If that left
+        // no majority, none is left out.
+        let age = |router: usize| {
+            if router == self.me {
+                f64::INFINITY
+            } else {
+                now - self.incarnations.start_learned_at(router)
+            }
+        };
+        let (new_start_ms, router_count) = (NEW_START_PERIODS * self.settings.period_ms, self.peers.len());
+        let new_share = (0..router_count).filter(|router| age(*router) < new_start_ms).count() as f64
+            / router_count as f64;
+        let is_new = |router: usize| age(router) < new_start_ms * (1.0 + ALL_NEW_EXTRA_FACTOR * new_share);
+        let established = (0..self.peers.len()).filter(|router| !is_new(*router)).count();
+        let is_left_out = |router: usize| {
+            self.peers[router].voted_failed || established >= self.settings.majority() && is_new(router)
+        };
+        // Where information spreads slowly an earlier epoch has more members: takes the latest epoch that
+        // lacks few.
         let sets: Vec<FixedBitSet> = (0..4)
-            .map(|ago| {
-                let mut set = ballots::heard_since(self.epoch.saturating_sub(ago), &heard, &self.book);
-                (0..self.peers.len()).filter(|of| without(*of)).for_each(|of| set.set(of, false));
+            .map(|epochs_ago| {
+                let mut set = ballots::reachable_since(
+                    self.epoch.saturating_sub(epochs_ago),
+                    &last_epochs,
+                    &self.incarnations,
+                );
+                (0..self.peers.len())
+                    .filter(|router| is_left_out(*router))
+                    .for_each(|router| set.set(router, false));
                 set
             })
             .collect();
         let most = sets.iter().map(|set| set.count_ones(..)).max().unwrap_or(0);
-        let enough = most - most / LACKS;
-        let ago = sets.iter().position(|set| set.count_ones(..) >= enough).unwrap_or(0);
-        let epoch = self.epoch.saturating_sub(ago as u32);
-        let set = sets.into_iter().nth(ago).filter(|set| set.count_ones(..) >= self.set.majority());
-        // Clerks call before others: where words are lost many begin an epoch, and rolls of each would gather names of a few.
-        let clerk = self.roles.clerks.contains(&self.me);
-        let set = set.filter(|_| self.calls.due(self.epoch, self.set.majority(), clerk));
+        let enough = most - most / MISSING_MEMBERS_DIVISOR;
+        let epochs_ago = sets.iter().position(|set| set.count_ones(..) >= enough).unwrap_or(0);
+        let epoch = self.epoch.saturating_sub(epochs_ago as u32);
+        let set =
+            sets.into_iter().nth(epochs_ago).filter(|set| set.count_ones(..) >= self.settings.majority());
+        // Coordinators open ballots first: on a lossy network many routers end an epoch, and a ballot of each
+        // of them would gather few signatures.
+        let coordinator = self.roles.coordinators.contains(&self.me);
+        let set =
+            set.filter(|_| self.ballots.liveness_due(self.epoch, self.settings.majority(), coordinator));
         if let Some(set) = set {
-            self.calls.call(Kind::Heard, [self.epoch, epoch], self.me, set, &self.book);
-        }
-        // Whoever is given up soon is called with those who have been, so that one roll has all that died together.
-        let mut given_up = FixedBitSet::with_capacity(self.peers.len());
-        for (of, peer) in self.peers.iter().enumerate() {
-            if (self.soon(of, SOON, now) || peer.gave_up) && peer.state != State::Gone {
-                given_up.insert(of);
+            self.ballots.open(BallotKind::Liveness, [self.epoch, epoch], self.me, set, &self.incarnations);
+        }
+        // Routers that are about to be voted failed are listed along with those that already are, so that one
+        // ballot covers all that died together.
+        let mut failed = FixedBitSet::with_capacity(self.peers.len());
+        for (router, peer) in self.peers.iter().enumerate() {
+            if (self.vote_due_within(router, GROUPED_VOTE_PERIODS, now) || peer.voted_failed)
+                && peer.state != State::Gone
+            {
+                failed.insert(router);
             }
         }
-        let first = clerk || !self.calls.called_since(Kind::GivenUp, self.epoch.saturating_sub(STEPS_IN));
-        if first && given_up.count_ones(..) > 0 && !self.calls.gathers(Kind::GivenUp, self.epoch, &given_up) {
-            self.calls.call(Kind::GivenUp, [self.epoch; 2], self.me, given_up, &self.book);
+        let may_open = coordinator
+            || !self.ballots.opened_since(BallotKind::Failure, self.epoch.saturating_sub(TAKEOVER_EPOCHS));
+        if may_open
+            && failed.count_ones(..) > 0
+            && !self.ballots.is_collecting(BallotKind::Failure, self.epoch, &failed)
+        {
+            self.ballots.open(BallotKind::Failure, [self.epoch; 2], self.me, failed, &self.incarnations);
         }
-        let mine: Vec<Key> = [Kind::Heard, Kind::GivenUp]
+        let own_ballots: Vec<BallotKey> = [BallotKind::Liveness, BallotKind::Failure]
             .into_iter()
-            .flat_map(|kind| self.calls.of(kind).map(|(key, _)| *key))
+            .flat_map(|kind| self.ballots.of_kind(kind).map(|(key, _)| *key))
             .filter(|key| usize::from(key.3) == self.me)
             .collect();
-        mine.into_iter().for_each(|key| self.review(key, now));
+        own_ballots.into_iter().for_each(|key| self.process_ballot(key, now));
     }
 
-    /// A later epoch: it is told on at once, and what is known here is told to those who gather it.
-    fn enter(&mut self, epoch: u32, now: Millis) {
+    /// Enters a later epoch: forwards it at once, and sends what is known here to the aggregators.
+    fn enter_epoch(&mut self, epoch: u32, now: Millis) {
         self.epoch = epoch;
-        self.own.entered(epoch, now);
-        self.calls.entered(epoch);
+        self.quorum.record_epoch(epoch, now);
+        self.ballots.remove_expired(epoch);
         let (me, peers) = (self.me, &self.peers);
-        let may = |of: usize| of == me || matches!(peers[of].state, State::Alive | State::Joining);
-        self.roles = schedule::roles(epoch, peers.len(), may);
-        let period = self.set.period_ms;
-        self.hub_at = self.roles.gathered(me, period).map(|wait| now + wait);
-        let part = self.part();
-        self.ends_at = now + self.roles.ends(me, period, part);
-        // Names that were given meanwhile, and lives that are known by now, may have made more rolls good.
-        self.review_all(Kind::GivenUp, now);
-        self.review_all(Kind::Heard, now);
-        self.settle(now);
-        // First those who gather, then whoever has not heard of the epoch yet, as far as a hub has enough left for the clerks.
-        let up = self.roles.up(me, epoch);
-        if let Some(of) = up.first() {
-            self.send(*of, now, None);
-        }
-        let kept = if self.hub_at.is_some() { schedule::CLERKS } else { 0 };
-        let count = schedule::ON.min(self.allowance.left().saturating_sub(kept));
-        for to in schedule::on(epoch, me, self.peers.len()).take(count) {
-            let there = to != me && self.peers[to].state == State::Alive;
-            if let Some(of) = if there { Some(to) } else { self.anybody() } {
-                self.send(of, now, None);
+        let eligible =
+            |router: usize| router == me || matches!(peers[router].state, State::Alive | State::Joining);
+        self.roles = schedule::roles(epoch, peers.len(), eligible);
+        let period = self.settings.period_ms;
+        self.aggregate_at = self.roles.aggregation_delay_ms(me, period).map(|wait| now + wait);
+        let fraction = self.random_fraction();
+        self.epoch_ends_at = now + self.roles.epoch_length_ms(me, period, fraction);
+        // Signatures and incarnations that have arrived since may have completed more ballots.
+        self.process_ballots(BallotKind::Failure, now);
+        self.process_ballots(BallotKind::Liveness, now);
+        self.update_quorum(now);
+        // First the aggregators, then routers that may not have heard of the epoch yet, as far as an
+        // aggregator's rate limit leaves enough for the coordinators.
+        let report_targets = self.roles.report_targets(me, epoch);
+        if let Some(router) = report_targets.first() {
+            self.send(*router, now, None);
+        }
+        let reserved = if self.aggregate_at.is_some() { schedule::COORDINATORS } else { 0 };
+        let count = schedule::FORWARD_TARGETS.min(self.rate_limiter.available().saturating_sub(reserved));
+        for to in schedule::forward_targets(epoch, me, self.peers.len()).take(count) {
+            let alive = to != me && self.peers[to].state == State::Alive;
+            if let Some(router) = if alive { Some(to) } else { self.random_peer() } {
+                self.send(router, now, None);
             }
         }
-        // What comes meanwhile goes on with these, so that it need not wait for the next epoch.
-        let later = schedule::LATER.map(|part| now + part * period);
-        self.later = [(later[0], up.get(1).copied()), (later[1], None)].into();
+        // Later datagrams carry what arrives in between, so that it need not wait for the next epoch.
+        let send_at = schedule::DELAYED_SEND_PERIODS.map(|part| now + part * period);
+        self.scheduled_sends = [(send_at[0], report_targets.get(1).copied()), (send_at[1], None)].into();
     }
 
-    /// The datagrams that leave within an epoch.
-    fn send_later(&mut self, now: Millis) {
-        while let Some((_, to)) = self.later.front().filter(|(at, _)| now >= *at).copied() {
-            self.later.pop_front();
-            let spare = to.is_some() || self.owed.is_empty() && self.allowance.left() > KEPT_BACK;
-            let to = if spare { to.or_else(|| self.anybody()) } else { None };
-            if let Some(of) = to {
-                self.send(of, now, None);
+    /// Sends the datagrams that are due within an epoch.
+    fn send_scheduled(&mut self, now: Millis) {
+        while let Some((_, to)) = self.scheduled_sends.front().filter(|(at, _)| now >= *at).copied() {
+            self.scheduled_sends.pop_front();
+            let spare = to.is_some()
+                || self.pending_replies.is_empty() && self.rate_limiter.available() > RESERVED_DATAGRAMS;
+            let to = if spare { to.or_else(|| self.random_peer()) } else { None };
+            if let Some(router) = to {
+                self.send(router, now, None);
             }
         }
     }
 
-    /// Who is about to be suspected is asked whether it is there; where that are more, others are asked for what they know.
-    fn ask(&mut self, now: Millis) {
-        let asks = std::mem::take(&mut self.asks);
-        if asks.is_empty() || now - self.asked_at < ANSWER_MS {
+    /// Probes routers that are about to be suspected. If there are too many, sends one request to a random
+    /// router for what it knows.
+    fn probe(&mut self, now: Millis) {
+        let to_probe = std::mem::take(&mut self.to_probe);
+        if to_probe.is_empty() || now - self.probed_at < MIN_REPLY_INTERVAL_MS {
             return;
         }
-        self.asked_at = now;
-        let these = if asks.len() <= ASKED { asks } else { self.anybody().into_iter().collect() };
-        for of in these {
-            self.asking = true;
-            self.send(of, now, None);
+        self.probed_at = now;
+        let targets =
+            if to_probe.len() <= MAX_PROBES { to_probe } else { self.random_peer().into_iter().collect() };
+        for router in targets {
+            self.probing = true;
+            self.send(router, now, None);
         }
-        self.asking = false;
+        self.probing = false;
     }
 
-    /// Some other router, mostly one that is there.
-    fn anybody(&mut self) -> Option<usize> {
+    /// Returns a random other router, mostly one that is alive.
+    fn random_peer(&mut self) -> Option<usize> {
         let count = self.peers.len();
-        let far = self.draw().is_multiple_of(FAR_EVERY);
-        let from = self.draw() as usize;
-        let wanted = |of: &usize| *of != self.me && (matches!(self.peers[*of].state, State::Alive) != far);
+        let far = self.random_u64().is_multiple_of(MISSING_TARGET_INTERVAL);
+        let from = self.random_u64() as usize;
+        let wanted =
+            |router: &usize| *router != self.me && (matches!(self.peers[*router].state, State::Alive) != far);
         let ring = (0..count).map(|step| (from + step) % count);
-        ring.clone().find(wanted).or_else(|| ring.into_iter().find(|of| *of != self.me))
+        ring.clone().find(wanted).or_else(|| ring.into_iter().find(|router| *router != self.me))
     }
 
-    /// Answers out of turn, as far as datagrams are to spare.
-    fn answer(&mut self, now: Millis) {
-        while self.allowance.left() > KEPT_BACK {
-            let Some((of, wants)) = self.owed.pop() else { return };
-            self.peers[of].answered_at = now;
-            self.send(of, now, Some(&wants));
+    /// Sends pending replies, as far as the rate limit allows.
+    fn send_replies(&mut self, now: Millis) {
+        while self.rate_limiter.available() > RESERVED_DATAGRAMS {
+            let Some((router, requested_blocks)) = self.pending_replies.pop() else { return };
+            self.peers[router].last_reply_at = now;
+            self.send(router, now, Some(&requested_blocks));
         }
     }
 
-    fn send(&mut self, of: usize, now: Millis, wants: Option<&[bool]>) {
-        if of == self.me || self.allowance.left() == 0 {
+    fn send(&mut self, router: usize, now: Millis, requested_blocks: Option<&[bool]>) {
+        if router == self.me || self.rate_limiter.available() == 0 {
             return;
         }
-        self.allowance.take();
-        self.turns += 1;
-        let lag = |at: usize| match self.peers[at].epoch {
-            _ if at == self.me => 0,
-            Some(known) => Lags::step(self.epoch.saturating_sub(known)),
-            None => encoding::LONG,
+        self.rate_limiter.take();
+        self.datagram_count += 1;
+        let lag = |index: usize| match self.peers[index].last_epoch {
+            _ if index == self.me => 0,
+            Some(known) => EpochLags::quantize(self.epoch.saturating_sub(known)),
+            None => encoding::LONG_LAG,
         };
         let steps: Vec<u8> = (0..self.peers.len()).map(lag).collect();
         let mut packet = Packet {
-            roster: self.roster,
+            roster_hash: self.roster_hash,
             from: self.me as u16,
-            to: of as u16,
+            to: router as u16,
             epoch: self.epoch,
-            asks: self.asking,
-            lags: Lags::of(&steps),
-            digests: self.book.digests(),
-            rolls: Vec::new(),
-            own: self.book.life(self.me),
-            lives: Lives::default(),
+            requests_reply: self.probing,
+            lags: EpochLags::of(&steps),
+            block_digests: self.incarnations.block_digests(),
+            ballots: Vec::new(),
+            own: self.incarnations.get(self.me),
+            incarnations: EncodedIncarnations::default(),
         };
-        // One that never stood learns and tells whom there are before all else.
-        let joining = self.own.says(now) == QuorumStatus::Joining;
-        let most = if joining || wants.is_some() { FULL } else { USUAL };
-        let lives = if joining {
-            2 * LIVES
-        } else if wants.is_some() {
-            LIVES
+        // A router that has never had a quorum first learns and announces which routers there are.
+        let joining = self.quorum.status(now) == QuorumStatus::Joining;
+        let max_bytes =
+            if joining || requested_blocks.is_some() { FULL_DATAGRAM_BYTES } else { USUAL_DATAGRAM_BYTES };
+        let reserved_bytes = if joining {
+            2 * INCARNATION_BYTES
+        } else if requested_blocks.is_some() {
+            INCARNATION_BYTES
         } else {
-            self.book.to_tell(LIVES)
+            self.incarnations.reserved_bytes(INCARNATION_BYTES)
         };
-        let room = wire::room(&packet, most).saturating_sub(lives);
-        packet.rolls = self.calls.tell([self.set.majority(), self.set.blocking()], self.turns, room);
-        let room = wire::room(&packet, most);
-        let draw = self.draw() as usize;
-        let mut lives = self.book.entries(room, wants, draw);
-        packet.lives = Lives::of(packet.own, lives.clone());
-        let mut bytes = wire::write(&self.set.fleet, &packet);
-        while bytes.len() > super::wire::MAX_DATAGRAM && !lives.is_empty() {
-            lives.truncate(lives.len() / 2); // Starts that differ by more than those of any clock.
-            packet.lives = Lives::of(packet.own, lives.clone());
-            bytes = wire::write(&self.set.fleet, &packet);
-        }
-        let to = self.peers[of].address;
+        let room = wire::incarnation_room(&packet, max_bytes).saturating_sub(reserved_bytes);
+        packet.ballots = self.ballots.select(
+            [self.settings.majority(), self.settings.blocking_minority()],
+            self.datagram_count,
+            room,
+        );
+        let room = wire::incarnation_room(&packet, max_bytes);
+        let random = self.random_u64() as usize;
+        let mut entries = self.incarnations.entries(room, requested_blocks, random);
+        packet.incarnations = EncodedIncarnations::of(packet.own, entries.clone());
+        let mut bytes = wire::encode(&self.settings.fleet, &packet);
+        while bytes.len() > super::wire::MAX_DATAGRAM_BYTES && !entries.is_empty() {
+            // Only needed for start numbers that differ by more than any real clocks do.
+            entries.truncate(entries.len() / 2);
+            packet.incarnations = EncodedIncarnations::of(packet.own, entries.clone());
+            bytes = wire::encode(&self.settings.fleet, &packet);
+        }
+        let to = self.peers[router].address;
         self.counts.sent += 1;
         self.counts.sent_bytes += bytes.len() as u64;
         self.effects.push(Effect::Send { to, bytes });
     }
 
-    /// This router ends: some others are told, out of turn, who pass it on.
+    /// Announces to some random routers, at once, that this router ends; they pass it on.
     pub fn leave(&mut self, now: Millis) {
-        self.leaves = true;
-        self.tell_own(now);
-        let tells = self.peers.len().min(24);
-        self.allowance.raise(tells);
-        for _ in 0..tells {
-            if let Some(of) = self.anybody() {
-                self.send(of, now, None);
+        self.leaving = true;
+        self.publish_own_incarnation(now);
+        let notifications = self.peers.len().min(24);
+        self.rate_limiter.set_available(notifications);
+        for _ in 0..notifications {
+            if let Some(router) = self.random_peer() {
+                self.send(router, now, None);
             }
         }
     }
--- a/src/fleet/epochs/wire.rs
+++ b/src/fleet/epochs/wire.rs
@@ -1,168 +1,177 @@
-//! What routers of a large fleet send each other: one kind of datagram, whoever sends it to whom and when.
+//! Datagrams of a large fleet: one kind of packet for all purposes.
 
-use super::ballots::Terms;
-use super::encoding::{Form, Lags};
-use crate::fleet::wire::{open, seal, RejectReason, HEAD, MAX_DATAGRAM, ROLLS};
+use super::ballots::BallotTerms;
+use super::encoding::{EncodedSet, EpochLags};
+use crate::fleet::wire::{open, seal, RejectReason, EPOCHS_MAGIC, HEADER_BYTES, MAX_DATAGRAM_BYTES};
 use serde::{Deserialize, Serialize};
 
-/// What is said of a life. What comes later in this order holds.
+/// The status of an incarnation. A later one in this order replaces an earlier one.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub enum Mark {
-    /// Nothing.
+pub enum IncarnationStatus {
+    /// Nothing is known against it.
     #[default]
-    Here,
-    /// Somebody has given it up: no roll that begins from now on counts it.
+    Present,
+    /// Some router has voted it failed: no liveness ballot that is opened from now on lists it.
     Doubted,
-    /// So many have given it up that it has no majority.
+    /// So many routers have voted it failed that it has no majority.
     Gone,
-    /// It has said that it ends.
+    /// It has announced that it ends.
     Left,
 }
 
-/// One life of a router: a start, and a term of it. Later ones replace earlier ones.
+/// An incarnation of a router: a start, and a term of it. Later ones replace earlier ones.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Life {
-    /// 0: never heard of.
+pub struct Incarnation {
+    /// The start number; 0: never heard of.
     pub start: u64,
-    /// See [`Row::term`](crate::fleet::wire::Row::term).
+    /// The term; see [`Report::term`](crate::fleet::wire::Report::term).
     pub term: u32,
-    /// What is said of it.
-    pub mark: Mark,
+    /// The status.
+    pub status: IncarnationStatus,
 }
 
-/// Whose life, by its place in the roster.
+/// A router's incarnation, by its index in the roster.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Entry {
-    /// The place.
-    pub of: u16,
-    /// The life.
-    pub life: Life,
+pub struct IncarnationEntry {
+    /// The index.
+    pub router: u16,
+    /// The incarnation.
+    pub incarnation: Incarnation,
 }
 
-/// Some lives, each by how its place and its start differ from the one before: starts of one fleet are mostly of one day.
+/// Encoded incarnations, each by how its index and its start differ from the one before: most routers of a
+/// fleet have started at about the same time.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Lives(Vec<(u16, i64, u32)>);
-
-impl Lives {
-    /// These, after the sender's own start.
-    pub fn of(own: Life, mut entries: Vec<Entry>) -> Self {
-        entries.sort_unstable_by_key(|entry| entry.of);
-        let (mut place, mut start) = (0u16, own.start);
-        let mut told = |entry: Entry| {
-            let life = entry.life;
-            let row = (
-                entry.of.wrapping_sub(place),
-                life.start.wrapping_sub(start) as i64,
-                life.term.min(u32::MAX / 4) * 4 + life.mark as u32,
+pub struct EncodedIncarnations(Vec<(u16, i64, u32)>);
+
+impl EncodedIncarnations {
+    /// Encodes entries relative to the sender's own start.
+    pub fn of(own: Incarnation, mut entries: Vec<IncarnationEntry>) -> Self {
+        entries.sort_unstable_by_key(|entry| entry.router);
+        let (mut index, mut start) = (0u16, own.start);
+        let mut encode_entry = |entry: IncarnationEntry| {
+            let incarnation = entry.incarnation;
+            let encoded = (
+                entry.router.wrapping_sub(index),
+                incarnation.start.wrapping_sub(start) as i64,
+                incarnation.term.min(u32::MAX / 4) * 4 + incarnation.status as u32,
             );
-            (place, start) = (entry.of, life.start);
-            row
+            (index, start) = (entry.router, incarnation.start);
+            encoded
         };
-        Self(entries.into_iter().map(&mut told).collect())
+        Self(entries.into_iter().map(&mut encode_entry).collect())
     }
 
-    /// What they are.
-    pub fn read(&self, own: Life) -> Vec<Entry> {
-        let (mut place, mut start) = (0u16, own.start);
-        let mut read = |(of, by, rest): &(u16, i64, u32)| {
-            (place, start) = (place.wrapping_add(*of), start.wrapping_add(*by as u64));
-            let mark = [Mark::Here, Mark::Doubted, Mark::Gone, Mark::Left][(rest % 4) as usize];
-            Entry { of: place, life: Life { start, term: rest / 4, mark } }
+    /// Decodes the entries.
+    pub fn decode(&self, own: Incarnation) -> Vec<IncarnationEntry> {
+        let (mut index, mut start) = (0u16, own.start);
+        let mut decode_entry = |(router, delta, rest): &(u16, i64, u32)| {
+            (index, start) = (index.wrapping_add(*router), start.wrapping_add(*delta as u64));
+            let status = [
+                IncarnationStatus::Present,
+                IncarnationStatus::Doubted,
+                IncarnationStatus::Gone,
+                IncarnationStatus::Left,
+            ][(rest % 4) as usize];
+            IncarnationEntry { router: index, incarnation: Incarnation { start, term: rest / 4, status } }
         };
-        self.0.iter().map(&mut read).collect()
+        self.0.iter().map(&mut decode_entry).collect()
     }
 }
 
-/// What those who sign a roll say of the routers in it.
+/// What signing a ballot states about its members.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub enum Kind {
-    /// That they have heard words of them from the roll's epoch or later.
-    Heard,
-    /// That they have given up these lives, and answer them no more.
-    GivenUp,
+pub enum BallotKind {
+    /// The signer has heard of them in the ballot's epoch or later.
+    Liveness,
+    /// The signer votes these incarnations failed and never confirms them again.
+    Failure,
 }
 
-/// A roll as it travels.
+/// A ballot in a datagram.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Told {
-    /// What signing it says.
-    pub kind: Kind,
-    /// The epoch in which it was called.
+pub struct BallotMessage {
+    /// What signing it states.
+    pub kind: BallotKind,
+    /// The epoch in which it was opened.
     pub epoch: u32,
-    /// Words of all in it are from this epoch or later.
-    pub since: u32,
-    /// Who has called it, by place.
-    pub by: u16,
-    /// Of the starts of all in it.
-    pub digest: u64,
-    /// The terms that are given up.
-    pub terms: Terms,
-    /// Who is in it.
-    pub set: Form,
-    /// Of whom some that signed could not say it.
-    pub without: Form,
-    /// Who has signed it.
-    pub signed: Form,
+    /// All members have been heard of in this epoch or later.
+    pub since_epoch: u32,
+    /// The index of the router that opened it.
+    pub opened_by: u16,
+    /// A digest of the start numbers of the members.
+    pub start_digest: u64,
+    /// The terms that are voted failed.
+    pub terms: BallotTerms,
+    /// The routers that it is about.
+    pub members: EncodedSet,
+    /// Members for which some signers could not confirm it.
+    pub exceptions: EncodedSet,
+    /// The routers that have signed it.
+    pub signers: EncodedSet,
 }
 
 /// A datagram.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Packet {
-    /// A hash of the sender's roster: places mean nothing in another one.
-    pub roster: u32,
-    /// Who sends it, by place.
+    /// A hash of the sender's roster: indexes are valid only for the same roster.
+    pub roster_hash: u32,
+    /// The index of the sender.
     pub from: u16,
-    /// For whom.
+    /// The index of the receiver.
     pub to: u16,
     /// The epoch that the sender is in.
     pub epoch: u32,
-    /// It asks for an answer: somebody is missed.
-    pub asks: bool,
-    /// How long ago it has heard of each, in epochs.
-    pub lags: Lags,
-    /// Of the starts that it knows, four bytes a block of the roster, then of the rest of the lives, two bytes a block.
-    pub digests: Vec<u8>,
-    /// Rolls.
-    pub rolls: Vec<Told>,
-    /// The sender's own life.
-    pub own: Life,
-    /// Lives of others.
-    pub lives: Lives,
+    /// The sender requests a reply, because a router is missing.
+    pub requests_reply: bool,
+    /// How many epochs ago the sender last heard of each router.
+    pub lags: EpochLags,
+    /// Digests of the sender's table: of the starts, four bytes for each block of the roster, then of terms
+    /// and statuses, two bytes for each block, then the number of known starts, one byte for each block.
+    pub block_digests: Vec<u8>,
+    /// Ballots.
+    pub ballots: Vec<BallotMessage>,
+    /// The sender's own incarnation.
+    pub own: Incarnation,
+    /// Incarnations of other routers.
+    pub incarnations: EncodedIncarnations,
 }
 
-/// Rolls in one datagram, at most.
-const MOST_ROLLS: usize = 8;
+/// Maximum number of ballots in a datagram.
+const MAX_BALLOTS: usize = 8;
 
-/// Bytes of a roll.
-pub fn size(told: &Told) -> usize {
-    postcard::to_stdvec(told).map_or(MAX_DATAGRAM, |bytes| bytes.len())
+/// Returns the size of an encoded ballot in bytes.
+pub fn ballot_bytes(message: &BallotMessage) -> usize {
+    postcard::to_stdvec(message).map_or(MAX_DATAGRAM_BYTES, |bytes| bytes.len())
 }
 
-/// Bytes that are left for lives where a datagram may have so many.
-pub fn room(packet: &Packet, most: usize) -> usize {
-    let size = postcard::to_stdvec(packet).map_or(MAX_DATAGRAM, |bytes| bytes.len());
-    most.min(MAX_DATAGRAM).saturating_sub(HEAD + size + 2)
+/// Returns the bytes left for incarnations in a datagram of at most `max_bytes`.
+pub fn incarnation_room(packet: &Packet, max_bytes: usize) -> usize {
+    let used_bytes = postcard::to_stdvec(packet).map_or(MAX_DATAGRAM_BYTES, |bytes| bytes.len());
+    max_bytes.min(MAX_DATAGRAM_BYTES).saturating_sub(HEADER_BYTES + used_bytes + 2)
 }
 
-/// Bytes that an entry takes, at most, where the one before it has that start.
-pub fn cost(life: Life, before: u64) -> usize {
-    let by = life.start.wrapping_sub(before) as i64;
-    let zigzag = ((by << 1) ^ (by >> 63)) as u64;
+/// Returns the maximum size of an encoded entry in bytes, if the entry before it has the start
+/// `previous_start`.
+pub fn entry_bytes(incarnation: Incarnation, previous_start: u64) -> usize {
+    let delta = incarnation.start.wrapping_sub(previous_start) as i64;
+    let zigzag = ((delta << 1) ^ (delta >> 63)) as u64;
     let bytes = |value: u64| (64 - value.max(1).leading_zeros() as usize).div_ceil(7);
-    2 + bytes(zigzag) + bytes(u64::from(life.term) * 4 + 3)
+    2 + bytes(zigzag) + bytes(u64::from(incarnation.term) * 4 + 3)
 }
 
-/// A datagram's bytes.
-pub fn write(fleet: &str, packet: &Packet) -> Vec<u8> {
-    seal(ROLLS, fleet, &postcard::to_stdvec(packet).unwrap_or_default()) // Into memory nothing of this can fail.
+/// Encodes a datagram.
+pub fn encode(fleet: &str, packet: &Packet) -> Vec<u8> {
+    // Serializing to memory can't fail here.
+    seal(EPOCHS_MAGIC, fleet, &postcard::to_stdvec(packet).unwrap_or_default())
 }
 
-/// Reads a datagram of this fleet.
-pub fn read(fleet: &str, bytes: &[u8]) -> Result<Packet, RejectReason> {
-    let body = open(ROLLS, fleet, bytes)?;
-    let (packet, _later): (Packet, _) = postcard::take_from_bytes(body).map_err(|_| RejectReason::Torn)?;
-    if packet.rolls.len() > MOST_ROLLS || packet.own.start == 0 {
-        return Err(RejectReason::Torn);
+/// Decodes a datagram of this fleet.
+pub fn decode(fleet: &str, bytes: &[u8]) -> Result<Packet, RejectReason> {
+    let body = open(EPOCHS_MAGIC, fleet, bytes)?;
+    let (packet, _later): (Packet, _) = postcard::take_from_bytes(body).map_err(|_| RejectReason::Corrupt)?;
+    if packet.ballots.len() > MAX_BALLOTS || packet.own.start == 0 {
+        return Err(RejectReason::Corrupt);
     }
     Ok(packet)
 }
--- a/src/fleet/epochs/wire/tests.rs
+++ b/src/fleet/epochs/wire/tests.rs
@@ -2,45 +2,56 @@
 use quickcheck::{Gen, QuickCheck};
 
 #[test]
-fn no_bytes_make_the_reader_panic_and_what_is_spoilt_is_refused() {
-    let own = Life { start: 1_800_000_000_000, term: 3, mark: Mark::Here };
-    let entry = |of: u16, start| Entry { of, life: Life { start, term: 2, mark: Mark::Doubted } };
+fn no_bytes_make_the_decoder_panic_and_corrupted_datagrams_are_rejected() {
+    let own = Incarnation { start: 1_800_000_000_000, term: 3, status: IncarnationStatus::Present };
+    let entry = |router: u16, start| IncarnationEntry {
+        router,
+        incarnation: Incarnation { start, term: 2, status: IncarnationStatus::Doubted },
+    };
     let entries = vec![entry(3, own.start + 5), entry(900, own.start - 700_000), entry(901, u64::MAX)];
-    let (signed, without) = (Form::AllBut(vec![7]), Form::Only(vec![]));
-    let roll = Told {
-        kind: Kind::Heard,
+    let (signers, exceptions) = (EncodedSet::AllBut(vec![7]), EncodedSet::Only(vec![]));
+    let ballot = BallotMessage {
+        kind: BallotKind::Liveness,
         epoch: 9,
-        since: 8,
-        by: 1,
-        digest: u64::MAX,
-        terms: Terms::default(),
-        set: Form::Bits(vec![255; 125]),
-        without,
-        signed,
+        since_epoch: 8,
+        opened_by: 1,
+        start_digest: u64::MAX,
+        terms: BallotTerms::default(),
+        members: EncodedSet::Bits(vec![255; 125]),
+        exceptions,
+        signers,
     };
     let packet = Packet {
-        roster: 5,
+        roster_hash: 5,
         from: 1,
         to: 2,
         epoch: 9,
-        asks: false,
-        lags: Lags::Most(1, vec![(3, 2)]),
-        digests: vec![0; 96],
-        rolls: vec![roll],
+        requests_reply: false,
+        lags: EpochLags::Sparse(1, vec![(3, 2)]),
+        block_digests: vec![0; 96],
+        ballots: vec![ballot],
         own,
-        lives: Lives::of(own, entries.iter().rev().copied().collect()),
+        incarnations: EncodedIncarnations::of(own, entries.iter().rev().copied().collect()),
     };
-    assert_eq!(packet.lives.read(own), entries);
-    let bytes = write("north", &packet);
-    assert_eq!(read("north", &bytes), Ok(packet.clone()));
-    assert_eq!(read("south", &bytes), Err(RejectReason::Foreign));
-    assert_eq!(crate::fleet::wire::read("north", &bytes), Err(RejectReason::Foreign), "it is no row");
-    assert!((HEAD..bytes.len()).all(|at| read("north", &bytes[..at]) == Err(RejectReason::Torn)));
-    let other = Packet { own: Life::default(), ..packet };
-    assert_eq!(read("north", &write("north", &other)), Err(RejectReason::Torn), "which start speaks?");
+    assert_eq!(packet.incarnations.decode(own), entries);
+    let bytes = encode("north", &packet);
+    assert_eq!(decode("north", &bytes), Ok(packet.clone()));
+    assert_eq!(decode("south", &bytes), Err(RejectReason::Foreign));
+    assert_eq!(
+        crate::fleet::wire::decode("north", &bytes),
+        Err(RejectReason::Foreign),
+        "it is no packet of a small fleet"
+    );
+    assert!((HEADER_BYTES..bytes.len()).all(|n| decode("north", &bytes[..n]) == Err(RejectReason::Corrupt)));
+    let other = Packet { own: Incarnation::default(), ..packet };
+    assert_eq!(
+        decode("north", &encode("north", &other)),
+        Err(RejectReason::Corrupt),
+        "the sender's start is missing"
+    );
     fn property(junk: Vec<u8>) -> bool {
-        let _ = read("n", &seal(ROLLS, "n", &junk));
-        read("n", &junk).is_err()
+        let _ = decode("n", &seal(EPOCHS_MAGIC, "n", &junk));
+        decode("n", &junk).is_err()
     }
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(300, 5))
--- a/src/fleet/local_health.rs
+++ b/src/fleet/local_health.rs
@@ -1,60 +1,64 @@
-//! What this router's own timers tell of itself: that it stood still, or runs late (Lifeguard: Dadgar, Phillips and
-//! Currey, "Lifeguard: SWIM-ing with Situational Awareness", 2017, section IV: local health).
+//! Local health: detects by this router's own timers that the process stalled or runs late (Lifeguard:
+//! Dadgar, Phillips and Currey, "Lifeguard: SWIM-ing with Situational Awareness", 2017, section IV: local
+//! health).
 
 use crate::api::Millis;
 
-/// Part that one turn has in the usual lateness.
-const PART: f64 = 0.2;
+/// Weight of the latest tick in the smoothed lateness.
+const LATENESS_WEIGHT: f64 = 0.2;
 
-/// Looks at the time between turns.
+/// Tracks the time between ticks.
 #[derive(Clone, Debug)]
-pub struct Patience {
-    turn_ms: Millis,
-    /// From this on a gap is a standstill.
-    still_ms: Millis,
-    last: Millis,
-    late_ms: Millis,
-    judges_from: Millis,
+pub struct LocalHealth {
+    tick_ms: Millis,
+    /// A gap of at least this length is a stall.
+    stall_ms: Millis,
+    last_tick_at: Millis,
+    lateness_ms: Millis,
+    suspects_from: Millis,
 }
 
-impl Patience {
-    /// Turns come every `turn_ms` from `now` on.
-    pub fn new(turn_ms: Millis, still_ms: Millis, now: Millis) -> Self {
-        Self { turn_ms, still_ms, last: now, late_ms: 0.0, judges_from: now }
+impl LocalHealth {
+    /// Creates a tracker that expects a tick every `tick_ms` from `now` on.
+    pub fn new(tick_ms: Millis, stall_ms: Millis, now: Millis) -> Self {
+        Self { tick_ms, stall_ms, last_tick_at: now, lateness_ms: 0.0, suspects_from: now }
     }
 
-    /// A turn; the length of the standstill before it, if it was one. What others said meanwhile may still wait to
-    /// be read: nobody is judged for a while.
+    /// Records a tick. If the process stalled before it, returns the length of the stall in ms; for a while
+    /// no router is suspected then, because datagrams that arrived meanwhile may not have been read yet.
     pub fn tick(&mut self, now: Millis) -> Option<Millis> {
-        let gap = (now - self.last).max(0.0);
-        self.last = now;
-        let late = (gap - self.turn_ms).clamp(0.0, self.still_ms);
-        self.late_ms += if late > self.late_ms { 1.0 } else { PART } * (late - self.late_ms);
-        if gap >= self.still_ms {
-            self.judges_from = now + self.still_ms;
+        let gap = (now - self.last_tick_at).max(0.0);
+        self.last_tick_at = now;
+        let lateness = (gap - self.tick_ms).clamp(0.0, self.stall_ms);
+        self.lateness_ms +=
+            if lateness > self.lateness_ms { 1.0 } else { LATENESS_WEIGHT } * (lateness - self.lateness_ms);
+        if gap >= self.stall_ms {
+            self.suspects_from = now + self.stall_ms;
             return Some(gap);
         }
         None
     }
 
-    /// By how much longer it waits before it suspects: as late as it is itself, it may have read what others said.
-    pub fn late_ms(&self) -> Millis {
-        self.late_ms
+    /// Extra time in ms to wait before suspecting others: a process that runs late may read datagrams late by
+    /// as much.
+    pub fn lateness_ms(&self) -> Millis {
+        self.lateness_ms
     }
 
-    /// Whether it may judge others now.
-    pub fn judges(&self, now: Millis) -> bool {
-        now >= self.judges_from
+    /// Whether other routers may be suspected at `now`.
+    pub fn may_suspect(&self, now: Millis) -> bool {
+        now >= self.suspects_from
     }
 }
 
-/// How long a suspect has, where `others` suspect it as well: the most at first, the least when three others do (the same
-/// paper, section IV: dynamic suspicion).
-pub fn suspicion(bounds: [Millis; 2], others: usize) -> Millis {
-    const ENOUGH: f64 = 3.0;
-    let [least, most] = bounds;
-    let part = (others as f64 + 1.0).ln() / (ENOUGH + 1.0).ln();
-    (most - (most - least) * part).max(least)
+/// Returns for how many ms a suspect is left before it is declared gone, when `confirmations` others suspect
+/// it as well: the most at first, the least from three confirmations on (same paper, section IV: dynamic
+/// suspicion).
+pub fn suspicion_timeout_ms(bounds_ms: [Millis; 2], confirmations: usize) -> Millis {
+    const ENOUGH_CONFIRMATIONS: f64 = 3.0;
+    let [least_ms, most_ms] = bounds_ms;
+    let part = (confirmations as f64 + 1.0).ln() / (ENOUGH_CONFIRMATIONS + 1.0).ln();
+    (most_ms - (most_ms - least_ms) * part).max(least_ms)
 }
 
 #[cfg(test)]
--- a/src/fleet/member.rs
+++ b/src/fleet/member.rs
@@ -1,31 +1,31 @@
-//! One other router as this one sees it.
+//! The state that this router keeps of one other router in a small fleet.
 
 use super::settings::PeerAddress;
 use super::settings::RouterId;
-use super::wire::{GivenUp, QuorumStatus, Row};
+use super::wire::{FailureVotes, QuorumStatus, Report};
 use crate::api::Millis;
 use std::collections::BTreeMap;
 
 use serde::{Deserialize, Serialize};
 
-/// What another router is taken for.
+/// The state of another router.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum State {
-    /// Never heard since this router's start.
+    /// Not heard since this router's start.
     Joining,
-    /// Heard.
+    /// Heard recently.
     Alive,
-    /// Not heard for a while.
+    /// Not heard for [`suspect_after_ms`](super::Settings::suspect_after_ms).
     Suspect,
-    /// So many have given it up that it has no majority: it knew that before.
+    /// So many routers have voted it failed that it has no majority. It knew that it was cut off before.
     Gone,
-    /// It has said that it ends.
+    /// It has announced that it ends.
     Left,
 }
 
 impl State {
-    /// The word that operators read.
+    /// Returns the name of the state as operators read it.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Joining => "joining",
@@ -37,22 +37,22 @@
     }
 }
 
-/// By which way two routers hear each other.
+/// How two routers reach each other.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Reachability {
-    /// Each hears the other's own datagrams.
+    /// Each receives the other's own datagrams.
     Direct,
-    /// Through others only.
+    /// They hear each other through other routers only.
     Relayed,
-    /// Only one of the two hears the other's own datagrams.
+    /// Only one of the two receives the other's own datagrams.
     OneWay,
     /// Not heard at all.
     None,
 }
 
 impl Reachability {
-    /// The word that operators read.
+    /// Returns the name as operators read it.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Direct => "direct",
@@ -63,121 +63,127 @@
     }
 }
 
-/// How long another router's words were on their way, by its clock and this one's: the quickest of late took no time. What is
-/// told so is never more than the truth, but for the drift of two clocks within two windows.
+/// Estimates by how much reports of another router are delayed, from the sender's clock and this one's: the
+/// fastest report of the last two windows is taken to have had no delay. The estimate never exceeds the true
+/// delay, except by the drift of the two clocks within two windows.
 #[derive(Clone, Debug)]
-pub(super) struct Transit {
-    window_ms: Millis,
-    until: Millis,
-    quickest: [Millis; 2],
+pub(super) struct TransitEstimator {
+    transit_window_ms: Millis,
+    window_ends_at: Millis,
+    min_transit_ms: [Millis; 2],
 }
 
-impl Transit {
-    pub fn new(window_ms: Millis) -> Self {
-        Self { window_ms, until: f64::NEG_INFINITY, quickest: [f64::INFINITY; 2] }
+impl TransitEstimator {
+    pub fn new(transit_window_ms: Millis) -> Self {
+        Self { transit_window_ms, window_ends_at: f64::NEG_INFINITY, min_transit_ms: [f64::INFINITY; 2] }
     }
 
-    /// Words that were said at `said`, by the other clock, came at `now`, by this one.
-    pub fn note(&mut self, said: Millis, now: Millis) -> Millis {
-        if now >= self.until {
-            self.quickest = [f64::INFINITY, self.quickest[0]];
-            self.until = now + self.window_ms;
+    /// Records that a report sent at `sent_at` by the sender's clock arrived at `now` by this router's clock,
+    /// and returns by how many ms it was slower than the fastest recent one.
+    pub fn excess_delay_ms(&mut self, sent_at: Millis, now: Millis) -> Millis {
+        if now >= self.window_ends_at {
+            self.min_transit_ms = [f64::INFINITY, self.min_transit_ms[0]];
+            self.window_ends_at = now + self.transit_window_ms;
         }
-        let took = now - said;
-        self.quickest[0] = self.quickest[0].min(took);
-        took - self.quickest[0].min(self.quickest[1])
+        let transit_ms = now - sent_at;
+        self.min_transit_ms[0] = self.min_transit_ms[0].min(transit_ms);
+        transit_ms - self.min_transit_ms[0].min(self.min_transit_ms[1])
     }
 }
 
 /// Another router.
 #[derive(Clone, Debug)]
 pub(super) struct Member {
-    pub at: PeerAddress,
+    pub peer: PeerAddress,
     pub id: RouterId,
-    /// Its latest words; none: never heard.
-    pub row: Option<Row>,
-    /// When these were new at the router that first heard them, as far as can be told: never earlier than they were said.
-    pub known_at: Millis,
-    /// The same, moved on by this router's standstills: from then on counts the silence.
-    pub heard_at: Millis,
-    /// How old its words usually are when they come here: 0 where they come from itself.
-    pub usual_age: Millis,
-    pub transit: Transit,
-    /// When its own datagrams last came, and the latest beat among them.
-    pub direct_at: Option<Millis>,
-    pub direct_beat: u32,
-    /// Terms that this router answers no more, and those it has given up for silence. Both only grow while it is one start.
-    pub refused: u32,
-    pub voted: u32,
-    /// It has said that it heard this start, and what it said then is refused: see `Fleet::meet`.
-    pub met: bool,
-    /// Given up before it was ever heard.
-    pub unheard_voted: bool,
-    /// This router's clock when it last said that it had given it up unheard, in beats.
-    pub claimed: u32,
-    /// Who has given up its latest term that anybody has.
-    pub given_up: Option<GivenUp>,
-    /// The term of the start that was called gone.
+    /// Its latest report; none: it has never been heard.
+    pub report: Option<Report>,
+    /// When that report first reached any router, as far as that can be determined. Never earlier than it was
+    /// sent.
+    pub reported_at: Millis,
+    /// The same, moved forward by the stalls of this process. Silence is measured from here.
+    pub last_heard_at: Millis,
+    /// How old its reports usually are on arrival, in ms: 0 for reports that come directly.
+    pub usual_age_ms: Millis,
+    pub transit: TransitEstimator,
+    /// When its own datagrams last arrived, and the latest heartbeat among them.
+    pub last_direct_at: Option<Millis>,
+    pub last_direct_heartbeat: u32,
+    /// The terms up to `refused_term` are not acknowledged any more; those up to `voted_term` were voted
+    /// failed for silence. Both only grow within one start.
+    pub refused_term: u32,
+    pub voted_term: u32,
+    /// It has acknowledged this router's start; until then each term that it reports is refused: see
+    /// `ObservationMembership::merge_report`.
+    pub start_acknowledged: bool,
+    /// This router voted it failed before it was ever heard.
+    pub voted_unheard: bool,
+    /// This router's heartbeat when it last announced that vote.
+    pub unheard_vote_heartbeat: u32,
+    /// Who has voted its latest term failed for which any votes are known.
+    pub failure_votes: Option<FailureVotes>,
+    /// The term that was declared gone.
     pub gone_term: Option<u32>,
     pub state: State,
-    pub since: Millis,
+    pub state_since: Millis,
     pub why: String,
-    /// The latest words of each other one that were sent to it: bounded by the routers of the file.
-    pub told: BTreeMap<usize, (u64, u32)>,
-    /// It was asked, out of turn, why it is silent.
-    pub asked: bool,
-    /// It is owed a datagram out of turn.
-    pub owed: bool,
-    /// When it was last sent to.
-    pub sent_at: Millis,
+    /// The start and heartbeat of the latest report of each other router that was sent to it; bounded by the
+    /// roster.
+    pub sent_reports: BTreeMap<usize, (u64, u32)>,
+    /// An extra datagram was sent to it to ask for a sign of life.
+    pub probed: bool,
+    /// An extra datagram to it is due.
+    pub reply_pending: bool,
+    /// When a datagram was last sent to it.
+    pub last_sent_at: Millis,
 }
 
 impl Member {
-    pub fn new(at: PeerAddress, window_ms: Millis, now: Millis) -> Self {
+    pub fn new(peer: PeerAddress, transit_window_ms: Millis, now: Millis) -> Self {
         Self {
-            transit: Transit::new(window_ms),
-            id: RouterId::of(&at.name),
-            at,
-            row: None,
-            known_at: now,
-            heard_at: now,
-            usual_age: 0.0,
-            direct_at: None,
-            direct_beat: 0,
-            refused: 0,
-            voted: 0,
-            met: false,
-            unheard_voted: false,
-            claimed: 0,
-            given_up: None,
+            transit: TransitEstimator::new(transit_window_ms),
+            id: RouterId::of(&peer.name),
+            peer,
+            report: None,
+            reported_at: now,
+            last_heard_at: now,
+            usual_age_ms: 0.0,
+            last_direct_at: None,
+            last_direct_heartbeat: 0,
+            refused_term: 0,
+            voted_term: 0,
+            start_acknowledged: false,
+            voted_unheard: false,
+            unheard_vote_heartbeat: 0,
+            failure_votes: None,
             gone_term: None,
             state: State::Joining,
-            since: now,
+            state_since: now,
             why: "not heard yet".to_owned(),
-            told: BTreeMap::new(),
-            asked: false,
-            owed: true,
-            sent_at: f64::NEG_INFINITY,
+            sent_reports: BTreeMap::new(),
+            probed: false,
+            reply_pending: true,
+            last_sent_at: f64::NEG_INFINITY,
         }
     }
 
     pub fn start(&self) -> u64 {
-        self.row.as_ref().map_or(0, |row| row.start)
+        self.report.as_ref().map_or(0, |report| report.start)
     }
 
     pub fn term(&self) -> u32 {
-        self.row.as_ref().map_or(0, |row| row.term)
+        self.report.as_ref().map_or(0, |report| report.term)
     }
 
-    pub fn beat(&self) -> u32 {
-        self.row.as_ref().map_or(0, |row| row.beat)
+    pub fn heartbeat(&self) -> u32 {
+        self.report.as_ref().map_or(0, |report| report.heartbeat)
     }
 
-    pub fn says(&self) -> QuorumStatus {
-        self.row.as_ref().map_or(QuorumStatus::Joining, |row| row.says)
+    pub fn status(&self) -> QuorumStatus {
+        self.report.as_ref().map_or(QuorumStatus::Joining, |report| report.status)
     }
 
-    pub fn silent(&self, now: Millis) -> Millis {
-        (now - self.heard_at).max(0.0)
+    pub fn silence_ms(&self, now: Millis) -> Millis {
+        (now - self.last_heard_at).max(0.0)
     }
 }
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -1,20 +1,31 @@
-//! Who else routes here, who hears whom, and whether this router is cut off.
+//! Membership of the fleet of request routers: which other routers are alive, and whether this router has a
+//! quorum.
 //!
-//! Owns what this router knows of the others, bounded by [`MAX_ROUTERS`]. It never opens a socket, never reads a clock, never
-//! touches a request: time comes in as an argument, datagrams and events go out as values.
+//! The module holds what this router knows of the others, bounded by [`MAX_ROUTERS`]. It does no I/O and
+//! reads no clock: time comes in as an argument, and datagrams and events go out as values ([`Effect`]). It
+//! does not touch requests.
 //!
-//! A fleet of up to [`ROWS_UPTO`](settings::ROWS_UPTO) routers passes on rows of who has heard whom ([`observations`]); a larger one calls
-//! a roll twice a second ([`epochs`]). The sentences are the same, and each says by which lines it keeps them.
+//! A router is identified by its name. Each process of it has a *start* number, which grows from process to
+//! process; within a start, *terms* number its periods of quorum. A router that has not been heard for long
+//! enough becomes suspect (SWIM with suspicion), then other routers cast *failure votes* against its
+//! term: a vote is irrevocable, and a voter never acknowledges that term again. The router is *gone* once so
+//! many have voted that the rest is no majority.
 //!
-//! **Holds at every instant**, whatever is lost, late, doubled, stalled, restarted or cut, while clocks run alike within
-//! [`MAX_CLOCK_DRIFT`](settings::MAX_CLOCK_DRIFT):
+//! A fleet of up to [`MAX_OBSERVATION_ROUTERS`](settings::MAX_OBSERVATION_ROUTERS) routers exchanges reports
+//! of who has heard whom ([`observations`]). A larger one runs in epochs of one period each, in which
+//! routers sign ballots ([`epochs`]). Both give the same guarantees, and the documentation of each says which
+//! functions keep them.
 //!
-//! - *Who is called gone knew before that it was cut off.*
-//! - *No word about or from an earlier start counts.*
-//! - *A term that has ended never comes back.*
+//! **Safety**: holds at every instant, whatever is lost, delayed, duplicated, stalled, restarted or
+//! partitioned, as long as clock rates differ by at most [`MAX_CLOCK_DRIFT`](settings::MAX_CLOCK_DRIFT):
 //!
-//! **Holds once faults end**: whoever is heard both ways by a majority, through any helper, has its standing and is alive at
-//! all others; whoever is dead is gone at all that have a majority.
+//! - *Self-detection first*: a router knows that it is cut off before any other router declares it gone.
+//! - *No stale starts*: no message about or from an earlier start of a router counts.
+//! - *Terms end for good*: a term that has ended never becomes valid again.
+//!
+//! **Liveness**: holds once faults end. A router that exchanges datagrams in both directions with a majority,
+//! directly or through relays, has a quorum and is alive at all others. A dead router is gone at all routers
+//! that have a quorum.
 
 pub mod epochs;
 pub mod local_health;
@@ -32,148 +43,151 @@
 pub use wire::{QuorumStatus, RejectReason};
 
 use crate::api::Millis;
-use epochs::Rolls;
-use observations::Rows;
+use epochs::EpochMembership;
+use observations::ObservationMembership;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// What there is to do or to tell.
+/// An action for the caller to carry out, or an event for it to log.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
-    /// A datagram leaves.
+    /// Send a datagram.
     Send {
-        /// Where it goes.
+        /// The address of the receiver.
         to: SocketAddr,
-        /// What it is.
+        /// The encoded datagram.
         bytes: Vec<u8>,
     },
-    /// This router's standing has changed, or its term.
+    /// The quorum status of this router or its term has changed.
     QuorumChanged {
-        /// What it is now.
+        /// The new status.
         status: QuorumStatus,
-        /// Its term.
+        /// The term of the status.
         term: u32,
-        /// How long ago that began, in ms: after a standstill it is noticed late, but held from then on.
+        /// How long ago the status changed, in ms. After a stall the change is noticed late, but it took
+        /// effect at this time.
         ago_ms: Millis,
-        /// How many answer it, itself among them, of how many.
+        /// How many routers acknowledge this one, itself included, and how many routers the fleet has.
         heard_by: (usize, usize),
     },
-    /// Another router's state has changed.
+    /// The state of another router has changed.
     MemberChanged {
-        /// Whose.
+        /// The name of the router.
         name: String,
-        /// Which start of it, and which term.
+        /// The start number of the router.
         start: u64,
-        /// See [`Row::term`](wire::Row::term).
+        /// The term of the router; see [`Report::term`](wire::Report::term).
         term: u32,
-        /// What it was, and is.
+        /// The state before and after the change.
         states: (State, State),
-        /// Why.
+        /// The reason for the change.
         why: String,
     },
-    /// This router's own timers have stood still for so long.
+    /// This process did not run its timers for so many ms.
     Stalled(Millis),
-    /// Another process goes or went by this router's name: its start is now this one.
+    /// Another process uses or used this router's name with a later start number; this router's start number
+    /// is now this one.
     StartRaised(u64),
 }
 
-/// Datagrams that came and went.
+/// Counters of datagrams.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
-    /// Sent, and their bytes.
+    /// Datagrams sent.
     pub sent: u64,
-    /// See `sent`.
+    /// Bytes of the datagrams sent.
     pub sent_bytes: u64,
-    /// Taken.
+    /// Datagrams accepted.
     pub accepted: u64,
-    /// Refused, by why.
+    /// Datagrams rejected, by reason.
     pub rejected: BTreeMap<RejectReason, u64>,
 }
 
-/// One router's picture of the fleet, by the way that fits its size.
+/// The membership as one router sees it, by the protocol for the size of the fleet.
 #[derive(Clone, Debug)]
 pub enum Fleet {
-    /// A small one.
-    Rows(Box<Rows>),
-    /// A large one.
-    Rolls(Box<Rolls>),
+    /// The protocol of small fleets.
+    Observations(Box<ObservationMembership>),
+    /// The protocol of large fleets.
+    Epochs(Box<EpochMembership>),
 }
 
-/// The same call of whichever it is.
-macro_rules! either {
-    ($self:expr, $way:ident => $call:expr) => {
+/// Calls the same method of whichever protocol is in use.
+macro_rules! dispatch {
+    ($self:expr, $membership:ident => $call:expr) => {
         match $self {
-            Self::Rows($way) => $call,
-            Self::Rolls($way) => $call,
+            Self::Observations($membership) => $call,
+            Self::Epochs($membership) => $call,
         }
     };
 }
 
 impl Fleet {
-    /// One that begins now: `start` is greater than that of any earlier one of this name, as far as is known; the clock is
-    /// steady and counts sleep (CLOCK_BOOTTIME). An error names the one of the peers that can't be.
-    pub fn new(set: Settings, name: &str, start: u64, now: Millis, seed: u64) -> Result<Self, String> {
-        set.named(name)?;
-        Ok(if set.calls_rolls() {
-            Self::Rolls(Box::new(Rolls::new(set, name, start, now, seed)))
+    /// Creates the membership of a router that starts now. `start` must be greater than the start number of
+    /// any earlier process of this name, as far as is known. `now` is the time of a steady clock in ms that
+    /// includes sleep (CLOCK_BOOTTIME). Fails if the name conflicts with the name of a peer.
+    pub fn new(settings: Settings, name: &str, start: u64, now: Millis, seed: u64) -> Result<Self, String> {
+        settings.check_name(name)?;
+        Ok(if settings.uses_epochs() {
+            Self::Epochs(Box::new(EpochMembership::new(settings, name, start, now, seed)))
         } else {
-            Self::Rows(Box::new(Rows::new(set, name, start, now, seed)))
+            Self::Observations(Box::new(ObservationMembership::new(settings, name, start, now, seed)))
         })
     }
 
-    /// What the file says.
+    /// Returns the settings of the fleet.
     pub fn settings(&self) -> &Settings {
-        either!(self, way => way.settings())
+        dispatch!(self, membership => membership.settings())
     }
 
-    /// When the next turn is due.
+    /// Returns when [`tick`](Self::tick) is to be called next.
     pub fn next_deadline(&self) -> Millis {
-        either!(self, way => way.next_deadline())
+        dispatch!(self, membership => membership.next_deadline())
     }
 
-    /// What has come and gone.
+    /// Returns the counters of datagrams.
     pub fn counts(&self) -> &Counts {
-        either!(self, way => way.counts())
+        dispatch!(self, membership => membership.counts())
     }
 
-    /// This start, as it is now known to others.
+    /// Returns this router's start number, which may have been raised since the router started.
     pub fn start(&self) -> u64 {
-        either!(self, way => way.start())
+        dispatch!(self, membership => membership.start())
     }
 
-    /// What this router can say of itself at this very moment, and in which term: asked by whatever rests on it, each time
-    /// before it acts.
+    /// Returns this router's quorum status and term at `now`. Whatever relies on the quorum asks this each
+    /// time before it acts.
     pub fn quorum_status(&self, now: Millis) -> (QuorumStatus, u32) {
-        either!(self, way => way.quorum_status(now))
+        dispatch!(self, membership => membership.quorum_status(now))
     }
 
-    /// Takes the effects so far.
+    /// Returns and clears the pending effects.
     pub fn take_effects(&mut self) -> Vec<Effect> {
-        either!(self, way => way.take_effects())
+        dispatch!(self, membership => membership.take_effects())
     }
 
-    /// A datagram. One that is refused is counted and changes nothing.
+    /// Handles a received datagram. A rejected datagram is counted and changes nothing.
     pub fn receive(&mut self, now: Millis, bytes: &[u8]) -> Result<(), RejectReason> {
-        either!(self, way => way.receive(now, bytes))
+        dispatch!(self, membership => membership.receive(now, bytes))
     }
 
-    /// A turn, where one is due: judges the silent, and sends.
+    /// Does the periodic work if it is due: checks for silent routers and sends datagrams.
     pub fn tick(&mut self, now: Millis) {
-        either!(self, way => way.tick(now))
+        dispatch!(self, membership => membership.tick(now))
     }
 
-    /// This router ends: others are told, once, out of turn.
+    /// Announces that this router ends: one extra datagram each to other routers.
     pub fn leave(&mut self, now: Millis) {
-        either!(self, way => way.leave(now))
+        dispatch!(self, membership => membership.leave(now))
     }
 
-    /// The picture at this moment.
+    /// Returns the view of the fleet at `now`.
     pub fn view(&self, now: Millis) -> View {
-        either!(self, way => way.view(now))
+        dispatch!(self, membership => membership.view(now))
     }
 
-    /// How many of the others are in each state, by its word.
+    /// Counts the other routers in each state, by the name of the state.
     pub fn count_by_state(&self) -> [(&'static str, usize); 5] {
-        either!(self, way => way.count_by_state())
+        dispatch!(self, membership => membership.count_by_state())
     }
 }
--- a/src/fleet/quorum.rs
+++ b/src/fleet/quorum.rs
@@ -1,117 +1,119 @@
-//! Whether this router is heard by a majority, by its own clock and by what others have answered.
+//! Whether this router has a quorum: whether a majority acknowledges its heartbeats.
 //!
-//! Each answer names the beat that it answers, which is this router's own clock: an answer counts for
-//! [`lease_ms`](super::Settings::lease_ms) from when that beat was *sent*, however late the answer comes. One that has refused the
-//! term does not count for it, whatever it answers. That is all that a term's standing rests on, so that it is a
-//! function of the time: a router that wakes from a standstill finds its answers too old before it acts.
+//! Each acknowledgement names a heartbeat, which is this router's own clock, and counts for
+//! [`lease_ms`](super::Settings::lease_ms) from when that heartbeat was *sent*, however late the
+//! acknowledgement arrives. A router that has refused the term does not count for it, whatever it
+//! acknowledges. Nothing else decides about a term, so that the quorum is a function of time: a router that
+//! wakes from a stall finds its acknowledgements expired before it acts.
 
 use super::wire::QuorumStatus;
 use crate::api::Millis;
 
-/// Milliseconds of one unit of beats.
-pub const BEAT_MS: Millis = 10.0;
+/// Milliseconds in one unit of a heartbeat.
+pub const HEARTBEAT_UNIT_MS: Millis = 10.0;
 
-/// The latest answer of one other router.
+/// The latest acknowledgement by another router.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Answer {
-    /// What it answers: this router's own clock, in beats.
-    pub beat: u32,
-    /// Terms up to this one are not answered by it any more.
-    pub refused: u32,
-    /// It hears this router's own datagrams.
+pub struct Ack {
+    /// The acknowledged heartbeat: this router's own clock, in units of [`HEARTBEAT_UNIT_MS`].
+    pub heartbeat: u32,
+    /// Terms up to this one are not acknowledged by it any more.
+    pub refused_term: u32,
+    /// It receives this router's own datagrams.
     pub direct: bool,
 }
 
-/// One router's own standing. Bounded by the other routers of the file.
+/// The quorum lease of this router. Bounded by the number of other routers.
 #[derive(Clone, Debug)]
-pub struct Ledger {
-    answers: Vec<Option<Answer>>,
+pub struct QuorumLease {
+    acks: Vec<Option<Ack>>,
     majority: usize,
     lease_ms: Millis,
-    /// The term that it is or was in, and the one that its datagrams carry: the same, or the next.
+    /// The current or last term, and the one that datagrams advertise: the same, or the next.
     term: u32,
-    wanted: u32,
-    holds: bool,
-    ever: bool,
+    advertised_term: u32,
+    has_quorum: bool,
+    had_quorum: bool,
 }
 
-impl Ledger {
-    /// Nobody has answered yet. One with no other routers beside it is its own majority.
+impl QuorumLease {
+    /// Creates a lease without acknowledgements. A router without peers is its own majority.
     pub fn new(others: usize, majority: usize, lease_ms: Millis) -> Self {
-        let answers = vec![None; others];
-        Self { answers, majority, lease_ms, term: 0, wanted: 1, holds: false, ever: false }
+        let acks = vec![None; others];
+        Self { acks, majority, lease_ms, term: 0, advertised_term: 1, has_quorum: false, had_quorum: false }
     }
 
-    /// The term that datagrams carry.
-    pub fn wanted(&self) -> u32 {
-        self.wanted
+    /// Returns the term that datagrams advertise.
+    pub fn advertised_term(&self) -> u32 {
+        self.advertised_term
     }
 
-    /// The term of the standing; 0 before the first.
+    /// Returns the current or last term; 0 before the first.
     pub fn term(&self) -> u32 {
         self.term
     }
 
-    /// The latest answer of another router.
-    pub fn answer(&self, of: usize) -> Option<Answer> {
-        self.answers[of]
+    /// Returns the latest acknowledgement by another router.
+    pub fn ack(&self, router: usize) -> Option<Ack> {
+        self.acks[router]
     }
 
-    /// An answer: later ones replace earlier ones, late ones change nothing. `now` is this router's clock, in ms; an answer to
-    /// a beat that was not sent yet is none.
-    pub fn note(&mut self, of: usize, answer: Answer, now: Millis) {
-        if f64::from(answer.beat) * BEAT_MS > now {
+    /// Records an acknowledgement. Later ones replace earlier ones, and outdated ones change nothing. `now`
+    /// is this router's clock in ms; an acknowledgement of a heartbeat that has not been sent yet is ignored.
+    pub fn record(&mut self, router: usize, ack: Ack, now: Millis) {
+        if f64::from(ack.heartbeat) * HEARTBEAT_UNIT_MS > now {
             return;
         }
-        // Nobody refuses what was never asked for.
-        let answer = Answer { refused: answer.refused.min(self.wanted), ..answer };
-        let known = &mut self.answers[of];
+        // A term that was never advertised can't be refused.
+        let ack = Ack { refused_term: ack.refused_term.min(self.advertised_term), ..ack };
+        let known = &mut self.acks[router];
         match known {
-            Some(known) if (answer.beat, answer.refused) < (known.beat, known.refused) => {}
-            _ => *known = Some(answer),
+            Some(known) if (ack.heartbeat, ack.refused_term) < (known.heartbeat, known.refused_term) => {}
+            _ => *known = Some(ack),
         }
     }
 
-    /// Another start of that router has forgotten what the one before it refused, so what that one answered doesn't count.
-    pub fn forget(&mut self, of: usize) {
-        self.answers[of] = None;
+    /// Discards the acknowledgement by a router that has restarted: its new start doesn't know what the one
+    /// before refused.
+    pub fn forget(&mut self, router: usize) {
+        self.acks[router] = None;
     }
 
-    /// How many stand behind a term, this router among them.
-    fn behind(&self, term: u32, now: Millis) -> usize {
-        let counts = |answer: &&Answer| {
-            answer.refused < term && now - f64::from(answer.beat) * BEAT_MS < self.lease_ms
+    /// Counts the routers that acknowledge a term at `now`, this one included.
+    fn ack_count(&self, term: u32, now: Millis) -> usize {
+        let counts = |ack: &&Ack| {
+            ack.refused_term < term && now - f64::from(ack.heartbeat) * HEARTBEAT_UNIT_MS < self.lease_ms
         };
-        1 + self.answers.iter().flatten().filter(counts).count()
+        1 + self.acks.iter().flatten().filter(counts).count()
     }
 
-    /// Whether a majority stands behind this router's term at `now`.
-    pub fn holds(&self, now: Millis) -> bool {
-        self.holds && self.behind(self.term, now) >= self.majority
+    /// Whether a majority acknowledges this router's term at `now`.
+    pub fn has_quorum(&self, now: Millis) -> bool {
+        self.has_quorum && self.ack_count(self.term, now) >= self.majority
     }
 
-    /// What it can say of itself.
-    pub fn says(&self, now: Millis) -> QuorumStatus {
-        match (self.holds(now), self.ever) {
+    /// Returns this router's quorum status at `now`.
+    pub fn status(&self, now: Millis) -> QuorumStatus {
+        match (self.has_quorum(now), self.had_quorum) {
             (true, _) => QuorumStatus::Majority,
             (false, true) => QuorumStatus::CutOff,
             (false, false) => QuorumStatus::Joining,
         }
     }
 
-    /// How many answer it at `now`, itself among them.
+    /// Counts the routers that acknowledge this one at `now`, itself included.
     pub fn heard_by(&self, now: Millis) -> usize {
-        self.behind(self.wanted, now)
+        self.ack_count(self.advertised_term, now)
     }
 
-    /// When the standing ends if nobody answers any more.
-    pub fn holds_until(&self) -> Millis {
+    /// Returns when the quorum ends if no more acknowledgements arrive.
+    pub fn quorum_until(&self) -> Millis {
         let mut until: Vec<Millis> = self
-            .answers
+            .acks
             .iter()
             .flatten()
-            .filter(|a| a.refused < self.term)
-            .map(|answer| f64::from(answer.beat) * BEAT_MS + self.lease_ms)
+            .filter(|a| a.refused_term < self.term)
+            .map(|ack| f64::from(ack.heartbeat) * HEARTBEAT_UNIT_MS + self.lease_ms)
             .collect();
         until.sort_by(|a, b| b.total_cmp(a));
         match self.majority.checked_sub(2) {
@@ -120,21 +122,22 @@
         }
     }
 
-    /// Takes the time into account; true if the standing has changed. A term that has ended never comes back: what was held in
-    /// it is let go, and the next one begins when a majority answers that.
-    pub fn settle(&mut self, now: Millis) -> bool {
-        let held = self.holds;
-        if self.holds && !self.holds(now) {
-            self.holds = false;
+    /// Applies the passage of time; returns true if the quorum was gained or lost. A term that has ended
+    /// never comes back: the next one begins when a majority acknowledges it.
+    pub fn update(&mut self, now: Millis) -> bool {
+        let had_quorum_before = self.has_quorum;
+        if self.has_quorum && !self.has_quorum(now) {
+            self.has_quorum = false;
         }
-        let refused = self.answers.iter().flatten().map(|answer| answer.refused).max().unwrap_or(0);
-        let least = if self.holds { self.term } else { self.term.saturating_add(1) };
-        // One that refuses this term answers the next: asked for while the majority still stands behind this one.
-        self.wanted = self.wanted.max(least).max(refused.saturating_add(1));
-        if self.wanted > self.term && self.behind(self.wanted, now) >= self.majority {
-            (self.term, self.holds, self.ever) = (self.wanted, true, true);
+        let refused_term = self.acks.iter().flatten().map(|ack| ack.refused_term).max().unwrap_or(0);
+        let least = if self.has_quorum { self.term } else { self.term.saturating_add(1) };
+        // A router that refuses this term acknowledges the next one, so that is advertised while a majority
+        // still acknowledges this one.
+        self.advertised_term = self.advertised_term.max(least).max(refused_term.saturating_add(1));
+        if self.advertised_term > self.term && self.ack_count(self.advertised_term, now) >= self.majority {
+            (self.term, self.has_quorum, self.had_quorum) = (self.advertised_term, true, true);
         }
-        self.holds != held
+        self.has_quorum != had_quorum_before
     }
 }
 
