--- a/src/fleet/rate_limit.rs
+++ b/src/fleet/rate_limit.rs
@@ -1,42 +1,43 @@
-//! How many datagrams a router may send: twelve a second at any size of the fleet.
+//! A token bucket that limits a router to twelve datagrams a second, at any size of the fleet.
 
 use crate::api::Millis;
 
-/// Datagrams in a second, at most, and at once: together no more than 12 a second over half a minute.
-pub const PER_S: f64 = 11.5;
-/// See [`PER_S`].
-pub const AT_ONCE: f64 = 12.0;
+/// Datagrams a second, and the most at once: together at most 12 a second over half a minute.
+pub const DATAGRAMS_PER_S: f64 = 11.5;
+/// See [`DATAGRAMS_PER_S`].
+pub const BURST_DATAGRAMS: f64 = 12.0;
 
-/// What may still be sent.
+/// The datagrams that may still be sent.
 #[derive(Clone, Debug)]
-pub(super) struct Allowance {
-    left: f64,
-    at: Millis,
+pub(super) struct RateLimiter {
+    available: f64,
+    refilled_at: Millis,
 }
 
-impl Allowance {
+impl RateLimiter {
     pub fn new(now: Millis) -> Self {
-        Self { left: AT_ONCE, at: now }
+        Self { available: BURST_DATAGRAMS, refilled_at: now }
     }
 
-    /// Time has passed.
+    /// Adds what has accrued since the last refill.
     pub fn refill(&mut self, now: Millis) {
-        self.left = (self.left + (now - self.at).max(0.0) * PER_S / 1e3).min(AT_ONCE);
-        self.at = now;
+        self.available =
+            (self.available + (now - self.refilled_at).max(0.0) * DATAGRAMS_PER_S / 1e3).min(BURST_DATAGRAMS);
+        self.refilled_at = now;
     }
 
-    /// So many may leave now.
-    pub fn left(&self) -> usize {
-        self.left.max(0.0) as usize
+    /// Returns how many datagrams may be sent now.
+    pub fn available(&self) -> usize {
+        self.available.max(0.0) as usize
     }
 
-    /// One leaves.
+    /// Takes one datagram off the budget.
     pub fn take(&mut self) {
-        self.left -= 1.0;
+        self.available -= 1.0;
     }
 
-    /// One that ends says so to that many, once.
-    pub fn raise(&mut self, to: usize) {
-        self.left = to as f64;
+    /// Allows exactly so many datagrams now: a router that ends announces that once, whatever the limit.
+    pub fn set_available(&mut self, datagrams: usize) {
+        self.available = datagrams as f64;
     }
 }
--- a/src/fleet/wire/tests.rs
+++ b/src/fleet/wire/tests.rs
@@ -1,74 +1,96 @@
 use super::*;
-use crate::fleet::settings::ROWS_UPTO;
+use crate::fleet::settings::MAX_OBSERVATION_ROUTERS;
 use quickcheck::{Gen, QuickCheck};
 
-fn row(who: &str, others: usize) -> Row {
-    let heard = |n: usize| Heard {
-        of: RouterId::of(&n.to_string()),
-        tag: u16::MAX,
-        beat: 0x0fff_ffff,
-        refused: 127,
-        voted: 127,
-        suspect: true,
+fn report(reporter: &str, others: usize) -> Report {
+    let observation = |n: usize| Observation {
+        router: RouterId::of(&n.to_string()),
+        start_tag: u16::MAX,
+        heartbeat: 0x0fff_ffff,
+        refused_term: 127,
+        voted_term: 127,
+        suspected: true,
         direct: true,
     };
-    let (start, term, beat) = (1_800_000_000_000, 100, 0x0fff_ffff);
-    let heard = (0..others).map(heard).collect();
-    Row { who: RouterId::of(who), start, term, beat, age: 900, says: QuorumStatus::Majority, heard }
+    let (start, term, heartbeat) = (1_800_000_000_000, 100, 0x0fff_ffff);
+    let observations = (0..others).map(observation).collect();
+    Report {
+        reporter: RouterId::of(reporter),
+        start,
+        term,
+        heartbeat,
+        age_ms: 900,
+        status: QuorumStatus::Majority,
+        observations,
+    }
 }
 
 #[test]
-fn a_datagram_is_read_whole_or_refused_with_its_reason() {
-    let given_up = vec![GivenUp { of: RouterId::of("d"), tag: 9, term: 2, by: 5 }];
-    let mut packet =
-        Packet { to: RouterId::of("b"), to_start: 7, roster: 1, rows: vec![row("a", 3)], given_up };
-    let (bytes, went) = write("north", packet.clone(), [row("c", 3)].into_iter());
-    packet.rows.push(row("c", 3));
-    assert_eq!(went, 1);
-    assert_eq!(read("north", &bytes), Ok(packet.clone()));
-    assert_eq!(read("south", &bytes), Err(RejectReason::Foreign));
-    assert_eq!(read("north", &[0; 1201]), Err(RejectReason::Length));
-    assert_eq!(read("north", b"{\"hello\":\"there, foreign one\"}"), Err(RejectReason::Foreign));
-    assert!((HEAD..bytes.len()).all(|at| read("north", &bytes[..at]) == Err(RejectReason::Torn)));
+fn a_datagram_is_decoded_completely_or_rejected_with_a_reason() {
+    let failure_votes =
+        vec![FailureVotes { router: RouterId::of("d"), start_tag: 9, term: 2, voter_bits: 5 }];
+    let mut packet = Packet {
+        to: RouterId::of("b"),
+        to_start: 7,
+        roster_hash: 1,
+        reports: vec![report("a", 3)],
+        failure_votes,
+    };
+    let (bytes, included) = encode("north", packet.clone(), [report("c", 3)].into_iter());
+    packet.reports.push(report("c", 3));
+    assert_eq!(included, 1);
+    assert_eq!(decode("north", &bytes), Ok(packet.clone()));
+    assert_eq!(decode("south", &bytes), Err(RejectReason::Foreign));
+    assert_eq!(decode("north", &[0; 1201]), Err(RejectReason::Length));
+    assert_eq!(decode("north", b"{\"hello\":\"there, foreign one\"}"), Err(RejectReason::Foreign));
+    assert!((HEADER_BYTES..bytes.len()).all(|n| decode("north", &bytes[..n]) == Err(RejectReason::Corrupt)));
     for at in 0..bytes.len() {
         let mut spoilt = bytes.clone();
         spoilt[at] ^= 16;
-        assert!(read("north", &spoilt).is_err(), "byte {at}");
+        assert!(decode("north", &spoilt).is_err(), "byte {at}");
     }
-    // A later version's datagram: more fields at the end, under its own number.
-    let body = [&bytes[HEAD..], b"more"].concat();
+    // A datagram of a later version has more fields at the end and its own version number.
+    let body = [&bytes[HEADER_BYTES..], b"more"].concat();
     let sum = XxHash64::oneshot(2, &body).to_le_bytes();
-    let later = [&ROWS[..], &[2], &fleet_tag("north"), &sum, &body].concat();
-    assert_eq!(read("north", &later), Ok(packet));
+    let later = [&OBSERVATIONS_MAGIC[..], &[2], &fleet_hash("north"), &sum, &body].concat();
+    assert_eq!(decode("north", &later), Ok(packet));
 }
 
 #[test]
-fn the_largest_fleet_fits_a_datagram_and_rows_without_room_are_left_out() {
-    let most = ROWS_UPTO - 1;
+fn the_largest_fleet_fits_a_datagram_and_reports_without_room_are_left_out() {
+    let most = MAX_OBSERVATION_ROUTERS - 1;
     let packet = |others| {
-        let given_up =
-            vec![GivenUp { of: RouterId::of("d"), tag: u16::MAX, term: u32::MAX, by: u64::MAX }; 3];
+        let failure_votes = vec![
+            FailureVotes {
+                router: RouterId::of("d"),
+                start_tag: u16::MAX,
+                term: u32::MAX,
+                voter_bits: u64::MAX
+            };
+            3
+        ];
         Packet {
             to: RouterId::of("b"),
             to_start: u64::MAX,
-            roster: u32::MAX,
-            rows: vec![row("a", others)],
-            given_up,
+            roster_hash: u32::MAX,
+            reports: vec![report("a", others)],
+            failure_votes,
         }
     };
-    let (bytes, _) = write("north", packet(most), std::iter::repeat_with(|| row("c", most)).take(100));
-    assert!(bytes.len() <= MAX_DATAGRAM, "{}", bytes.len());
-    assert_eq!(read("north", &bytes).expect("its own").rows[0], row("a", most));
-    let (small, went) = write("north", packet(3), std::iter::repeat_with(|| row("c", 3)).take(500));
-    assert!(small.len() <= RELAYED && went >= 5, "{went}");
+    let (bytes, _) = encode("north", packet(most), std::iter::repeat_with(|| report("c", most)).take(100));
+    assert!(bytes.len() <= MAX_DATAGRAM_BYTES, "{}", bytes.len());
+    assert_eq!(decode("north", &bytes).expect("a valid datagram").reports[0], report("a", most));
+    let (small, included) = encode("north", packet(3), std::iter::repeat_with(|| report("c", 3)).take(500));
+    assert!(small.len() <= RELAY_FILL_BYTES && included >= 5, "{included}");
 }
 
 #[test]
-fn no_bytes_make_the_reader_panic() {
+fn no_bytes_make_the_decoder_panic() {
     fn property(bytes: Vec<u8>) -> bool {
         let sum = XxHash64::oneshot(1, &bytes).to_le_bytes();
-        let whole = [&ROWS[..], &[1], &fleet_tag("n"), &sum, &bytes].concat();
-        read("n", &bytes).is_err() && read("n", &whole).map_or(true, |packet| packet.rows.len() <= MOST_ROWS)
+        let whole = [&OBSERVATIONS_MAGIC[..], &[1], &fleet_hash("n"), &sum, &bytes].concat();
+        decode("n", &bytes).is_err()
+            && decode("n", &whole).map_or(true, |packet| packet.reports.len() <= MAX_ENTRIES)
     }
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(300, 5))
--- a/src/operator/fleet.rs
+++ b/src/operator/fleet.rs
@@ -71,7 +71,7 @@
             }
         }
     }
-    if settings.routers() > MAX_ROUTERS {
+    if settings.router_count() > MAX_ROUTERS {
         reader.fault(section.at, format!("more than {MAX_ROUTERS} routers"));
     }
     (settings.fleet, settings.listen) = (name?, listen?.1);
