--- a/src/fleet/epochs/ballots.rs
+++ b/src/fleet/epochs/ballots.rs
@@ -78,7 +78,7 @@
     XxHash64::oneshot(11, &bytes) as u32
 }
 
-/// All known ballots, bounded by [`KEPT_EPOCHS`] epochs and [`KEPT_PER_EPOCH`] for each.
+/// All known ballots, bounded by [`KEPT_EPOCHS`] epochs and [`KEPT_PER_EPOCH`] of each epoch and kind.
 #[derive(Clone, Debug, Default)]
 pub struct Ballots {
     ballots: BTreeMap<BallotKey, Ballot>,
--- a/src/fleet/epochs/mod.rs
+++ b/src/fleet/epochs/mod.rs
@@ -115,7 +115,8 @@
     reported_gone_at: Millis,
     /// Why it is gone, if that has not been announced yet.
     gone_reason: Option<String>,
-    /// This router has voted its incarnation failed, or will do so for the first one that it hears of.
+    /// This router has voted its incarnation failed. If it was never heard of, the vote holds for the first
+    /// incarnation that is.
     voted_failed: bool,
     state: State,
     state_since: Millis,
@@ -425,6 +426,7 @@
             && incarnation.status > IncarnationStatus::Present
             && !self.leaving
         {
+            // Others have voted this term failed: the next one is advertised.
             self.quorum.advertise_term(incarnation.term + 1, now);
             self.publish_own_incarnation(now);
         }
@@ -572,8 +574,8 @@
         }
     }
 
-    /// Returns which signers count for a term that was first advertised at `advertised_since`: a start that
-    /// became known later may belong to a router that voted the term failed before.
+    /// Returns which signers count for a term that was first advertised at `advertised_since`: a router whose
+    /// start became known later may have voted the term failed in an earlier process.
     fn counts_signer(&self, advertised_since: Millis) -> impl Fn(&usize) -> bool + '_ {
         move |router| {
             *router == self.me
@@ -924,10 +926,11 @@
     /// Returns a random other router, mostly one that is alive.
     fn random_peer(&mut self) -> Option<usize> {
         let count = self.peers.len();
-        let far = self.random_u64().is_multiple_of(MISSING_TARGET_INTERVAL);
+        let to_missing = self.random_u64().is_multiple_of(MISSING_TARGET_INTERVAL);
         let from = self.random_u64() as usize;
-        let wanted =
-            |router: &usize| *router != self.me && (matches!(self.peers[*router].state, State::Alive) != far);
+        let wanted = |router: &usize| {
+            *router != self.me && (matches!(self.peers[*router].state, State::Alive) != to_missing)
+        };
         let ring = (0..count).map(|step| (from + step) % count);
         ring.clone().find(wanted).or_else(|| ring.into_iter().find(|router| *router != self.me))
     }
--- a/src/fleet/local_health.rs
+++ b/src/fleet/local_health.rs
@@ -51,7 +51,7 @@
     }
 }
 
-/// Returns for how many ms a suspect is left before it is declared gone, when `confirmations` others suspect
+/// Returns for how many ms a suspect is left before it is voted failed, when `confirmations` others suspect
 /// it as well: the most at first, the least from three confirmations on (same paper, section IV: dynamic
 /// suspicion).
 pub fn suspicion_timeout_ms(bounds_ms: [Millis; 2], confirmations: usize) -> Millis {
--- a/src/fleet/observations.rs
+++ b/src/fleet/observations.rs
@@ -240,9 +240,8 @@
         }
         if !member.start_acknowledged {
             // The process before this one may have voted failed any term that the other router had until it
-            // learned of this start. An observation that was delayed may name this start for an earlier term,
-            // so the first term counts that is reported along with a recent enough acknowledgement of this
-            // start.
+            // learned of this start. A delayed report may name an earlier term, so all terms are refused up
+            // to the first that is reported along with a recent enough acknowledgement of this start.
             let start_acknowledged = self_observation
                 .is_some_and(|observation| observation.heartbeat >= member.unheard_vote_heartbeat);
             (member.refused_term, member.start_acknowledged) =
@@ -282,8 +281,8 @@
     fn merge_first_report(&mut self, index: usize, report: &Report, direct: bool, last_heard_at: Millis) {
         self.quorum.forget(index);
         let member = &mut self.members[index];
-        // A router that already knew an earlier start has never acknowledged anything of this one, so it has
-        // nothing to refuse.
+        // If this process already knew an earlier start, it has never acknowledged anything of the new one,
+        // and need not refuse its terms.
         let unknown = member.report.is_none();
         (member.refused_term, member.start_acknowledged) = (0, !unknown);
         (member.voted_term, member.voted_unheard, member.gone_term, member.failure_votes) =
--- a/src/fleet/settings.rs
+++ b/src/fleet/settings.rs
@@ -53,7 +53,7 @@
     pub peers: Vec<PeerAddress>,
     /// The time in ms in which a router sends five datagrams.
     pub period_ms: Millis,
-    /// The least and the most time in ms from suspicion to the declaration that a router is gone.
+    /// The least and the most time in ms from the suspicion of a router to a failure vote against it.
     pub suspicion_ms: [Millis; 2],
     /// The number of routers from which the fleet uses epochs. [`MAX_OBSERVATION_ROUTERS`] plus one, except
     /// in tests.
@@ -126,8 +126,8 @@
             return EPOCHS_SUSPECT_PERIODS * self.period_ms;
         }
         // In a large fleet the newest reports of some routers arrive later than those of most.
-        let more = 0.03 * self.peers.len().saturating_sub(11) as f64;
-        (3.3 + more.min(1.0)) * self.period_ms
+        let extra_periods = 0.03 * self.peers.len().saturating_sub(11) as f64;
+        (3.3 + extra_periods.min(1.0)) * self.period_ms
     }
 
     /// A router counts as directly heard if one of its own datagrams has arrived within this time, in ms.
@@ -145,8 +145,8 @@
     /// Silence after which a router is sent an extra probe and answers it at once, in ms: longer than a round
     /// where that is possible, and short enough for the answer to arrive before the router is suspected.
     pub fn probe_after_ms(&self) -> Millis {
-        let part = if self.round_ms() < 0.7 * self.suspect_after_ms() { 0.7 } else { 0.55 };
-        part * self.suspect_after_ms()
+        let fraction = if self.round_ms() < 0.7 * self.suspect_after_ms() { 0.7 } else { 0.55 };
+        fraction * self.suspect_after_ms()
     }
 
     /// Time that is added to the least suspicion, in ms, because a round takes longer with more than a dozen
@@ -165,8 +165,8 @@
     /// differ, so that a router knows that it is cut off before others declare it gone.
     pub fn lease_ms(&self) -> Millis {
         // With epochs no transit times are estimated: only clock drift has to be covered.
-        let part = if self.uses_epochs() { 0.92 } else { 0.75 };
-        part * self.refuse_after_ms()
+        let fraction = if self.uses_epochs() { 0.92 } else { 0.75 };
+        fraction * self.refuse_after_ms()
     }
 
     /// Length in ms of the windows in which the fastest transit of another router's reports is tracked.
@@ -178,10 +178,10 @@
     pub fn self_detection_margin_ms(&self) -> Millis {
         // A silence may be measured from an estimated transit time, which can be wrong by the drift within
         // two windows.
-        let reckoned =
+        let transit_error_ms =
             if self.uses_epochs() { 0.0 } else { 2.0 * self.transit_window_ms() * MAX_CLOCK_DRIFT };
-        let silence = self.refuse_after_ms() * (1.0 - MAX_CLOCK_DRIFT) - reckoned;
-        silence - self.lease_ms() * (1.0 + MAX_CLOCK_DRIFT)
+        let silence_ms = self.refuse_after_ms() * (1.0 - MAX_CLOCK_DRIFT) - transit_error_ms;
+        silence_ms - self.lease_ms() * (1.0 + MAX_CLOCK_DRIFT)
     }
 }
 
--- a/tests/fleet_model.rs
+++ b/tests/fleet_model.rs
@@ -390,8 +390,11 @@
                         let fleet =
                             world.fleets[gone.router].as_ref().filter(|fleet| fleet.start() == gone.start);
                         fleet.is_some_and(|fleet| {
-                        matches!(fleet.quorum_status(model.clock(gone.router, world.steps)), (QuorumStatus::Majority, term) if term > gone.term)
-                    })
+                            matches!(
+                                fleet.quorum_status(model.clock(gone.router, world.steps)),
+                                (QuorumStatus::Majority, term) if term > gone.term
+                            )
+                        })
                     };
                     world.declared_gone.iter().any(again)
                 },
