--- a/src/back/connection.rs
+++ b/src/back/connection.rs
@@ -1,4 +1,5 @@
-//! One connection: what is on it, how far that has come, and what its answers mean.
+//! State of one connection to a machine: the frames that are queued or outstanding on it, how far each has
+//! come, and the reading of the machine's answers.
 
 use super::wire::{parse_note, Fields};
 use super::{
@@ -15,52 +16,55 @@
 pub(super) enum Purpose {
     Attempt(AttemptKey),
     Probe,
-    /// Who is there, and whether it answers at all.
+    /// Verifies that the machine answers and, if names are verified, which machine it is.
     Greeting,
 }
 
 #[derive(Clone, Debug)]
 pub(super) struct Frame {
     pub(super) bytes: Vec<u8>,
-    /// What it says, if it is a request's: its time is worded anew as it leaves.
+    /// The attempt that this frame carries, if any: its time limit is encoded again when the frame is
+    /// written.
     pub(super) call: Option<OutgoingRequest>,
-    /// The id it opens; a STOP opens none.
+    /// The id under which an answer is expected; `None` for STOP.
     pub(super) opens_id: Option<String>,
-    /// It must not be repeated: what it shares a connection with could cost it its answer.
+    /// The attempt must not be repeated, so it should not share its connection: a fault of another answer
+    /// would cost it its own.
     pub(super) alone: bool,
-    /// How often it has moved on from a connection that closed.
+    /// How often the frame was moved from a connection that closed.
     pub(super) moves: u8,
 }
 
 #[derive(Debug)]
 pub(super) struct Connection {
     pub(super) machine: CacheId,
-    /// The way it goes, once it is up.
+    /// The endpoint that is connected.
     pub(super) endpoint: Option<Endpoint>,
-    /// The dials for it, until it is up.
+    /// The race of dials, until one is connected.
     pub(super) race: Option<DialRace>,
     pub(super) dialed_at: Millis,
     pub(super) connected_at: Option<Millis>,
-    /// It carries nothing until its machine has answered a greeting, for which it waits until then.
+    /// Deadline for the machine's answer to the greeting. Until it answers, no attempt or probe is sent.
     pub(super) greeting_deadline: Option<Millis>,
-    /// It is there to see whether this path works, until something is answered on it.
+    /// The endpoint that this connection tests after a failure; `None` once a request or probe is answered
+    /// over it.
     pub(super) trial: Option<Endpoint>,
-    /// Its silence was told to the book.
+    /// Whether this connection's silence was recorded as a failure of its endpoint.
     pub(super) silence_reported: bool,
     pub(super) retired: bool,
-    /// Since when something asked whole has met no sound at all.
+    /// When the wait for any byte began, if a completely written request is unanswered.
     pub(super) silent_since: Option<Millis>,
-    /// Since when it carries nothing.
+    /// Since when the connection is idle. Meaningful only while it carries nothing.
     pub(super) idle_since: Millis,
     pub(super) output: VecDeque<Frame>,
     pub(super) written: usize,
     pub(super) outstanding: HashMap<String, Outstanding>,
-    /// Ids that are no longer open, and since when.
+    /// Ids that are no longer outstanding, with the time at which they were closed.
     pub(super) closed_ids: VecDeque<(String, Millis)>,
     pub(super) decoder: Decoder,
-    /// When something last came.
+    /// When bytes were last received.
     pub(super) last_received_at: Millis,
-    /// When the answer that is coming began to.
+    /// When the partial answer in the decoder began.
     pub(super) answer_started_at: Millis,
 }
 
@@ -76,43 +80,51 @@
         self.silent_since.is_some_and(|since| now - since > UNRESPONSIVE_MS)
     }
 
-    pub(super) fn accepts(&self, now: Millis, addresses: &AddressTable, id: &str, streams: usize) -> bool {
+    pub(super) fn accepts(
+        &self,
+        now: Millis,
+        addresses: &AddressTable,
+        id: &str,
+        max_streams: usize,
+    ) -> bool {
         let may_use = match (&self.trial, &self.endpoint) {
-            // One request at a time shows whether a path works again.
-            (Some(tried), Some(_)) => {
+            // A single request at a time tests whether the endpoint works again.
+            (Some(tested), Some(_)) => {
                 self.greeting_deadline.is_none()
                     && self.outstanding.is_empty()
-                    && addresses.may_dial(now, &self.machine, tried)
+                    && addresses.may_dial(now, &self.machine, tested)
             }
             (Some(_), None) => false,
             (None, Some(endpoint)) => addresses.accepts_requests(now, &self.machine, endpoint),
             (None, None) => true,
         };
-        let free = self.outstanding.len() < streams && !self.outstanding.contains_key(id);
-        let fresh = !self.closed_ids.iter().any(|(past, _)| past == id); // Its late answer would be taken for ours.
-        free && fresh && may_use && !self.retired && !self.is_unresponsive(now)
+        let has_room = self.outstanding.len() < max_streams && !self.outstanding.contains_key(id);
+        // A late answer under this id would be taken for the new one's.
+        let id_unused = !self.closed_ids.iter().any(|(closed, _)| closed == id);
+        has_room && id_unused && may_use && !self.retired && !self.is_unresponsive(now)
     }
 
-    /// Whether one more had better go elsewhere.
+    /// Whether a further request should rather go to another connection.
     pub(super) fn is_crowded(&self, alone: bool) -> bool {
         let max =
             if alone || self.outstanding.values().any(|open| open.alone) { 1 } else { CROWDED_ATTEMPTS };
         self.outstanding.len() >= max
     }
 
-    /// An id is no longer open: what still comes under it is no answer to a later request.
+    /// Closes an id: what still arrives under it is not the answer to a later request.
     pub(super) fn close_id(&mut self, now: Millis, id: String) {
         self.closed_ids.push_back((id, now));
         let [min, max] = CLOSED_IDS_KEPT;
-        let old = |past: &VecDeque<(String, Millis)>| {
-            past.front().is_some_and(|(_, at)| now - at > CLOSED_ID_LIFETIME_MS)
+        let expired = |ids: &VecDeque<(String, Millis)>| {
+            ids.front().is_some_and(|(_, at)| now - at > CLOSED_ID_LIFETIME_MS)
         };
-        while self.closed_ids.len() > max || (self.closed_ids.len() > min && old(&self.closed_ids)) {
+        while self.closed_ids.len() > max || (self.closed_ids.len() > min && expired(&self.closed_ids)) {
             self.closed_ids.pop_front();
         }
     }
 
-    /// When it is to be looked at: a dial takes too long, an answer stops short, or it has been idle.
+    /// Returns when the connection must be checked: a dial or greeting times out, an answer stalls, or the
+    /// connection has been idle for too long.
     pub(super) fn deadline(&self, idle_ms: Millis) -> Option<Millis> {
         match self.connected_at {
             None if self.retired && self.outstanding.is_empty() => Some(self.idle_since),
@@ -135,21 +147,25 @@
         frame: &[Vec<u8>],
         verify_name: bool,
     ) -> Result<EndpointEvent, ProtocolError> {
-        let [id, status, rest @ ..] = frame else { return Err(ProtocolError("an answer is cut short")) };
-        let id = std::str::from_utf8(id).map_err(|_| ProtocolError("an id can't be read"))?;
-        // An answer to what has not left whole is none: its frame would go on to open the id a second time.
-        let asked = self.outstanding.get(id).filter(|open| open.progress == Progress::WrittenWhole);
-        let Some(purpose) = asked.map(|open| open.purpose) else {
-            let late = self.closed_ids.iter().any(|(past, _)| past == id);
+        let [id, status, rest @ ..] = frame else {
+            return Err(ProtocolError("answer with fewer than two parts"));
+        };
+        let id = std::str::from_utf8(id).map_err(|_| ProtocolError("answer id is not UTF-8"))?;
+        // Nothing can be answered before it is completely written. Accepting such an answer would free the
+        // id, which the frame would then open a second time.
+        let answered = self.outstanding.get(id).filter(|open| open.progress == Progress::WrittenWhole);
+        let Some(purpose) = answered.map(|open| open.purpose) else {
+            let late = self.closed_ids.iter().any(|(closed, _)| closed == id);
             return Ok(if late { EndpointEvent::Late } else { EndpointEvent::Unknown });
         };
         let (fields, body) = match (purpose, rest) {
             (Purpose::Probe | Purpose::Greeting, []) => (&b"-"[..], None),
             (Purpose::Probe | Purpose::Greeting, [fields, ..]) => (&fields[..], None),
             (Purpose::Attempt(_), [fields, body]) => (&fields[..], Some(body)),
-            _ => return Err(ProtocolError("an answer has other parts")),
+            _ => return Err(ProtocolError("answer with an unexpected number of parts")),
         };
-        let fields = Fields(std::str::from_utf8(fields).map_err(|_| ProtocolError("fields can't be read"))?);
+        let fields =
+            Fields(std::str::from_utf8(fields).map_err(|_| ProtocolError("answer fields are not UTF-8"))?);
         let report = fields.report();
         let outcome = match (purpose, status.as_slice()) {
             (Purpose::Probe | Purpose::Greeting, b"FIT") => Outcome::Ok,
@@ -159,7 +175,7 @@
             (Purpose::Attempt(_), b"WAIT") => Outcome::Full,
             (Purpose::Attempt(_), b"BROKE") => Outcome::Error,
             (Purpose::Attempt(_), b"PAST") => Outcome::Moot,
-            _ => return Err(ProtocolError("an answer says nothing that is known")),
+            _ => return Err(ProtocolError("unknown answer status")),
         };
         if purpose == Purpose::Greeting && verify_name && fields.get("name") != Some(self.machine.as_str()) {
             return Err(WRONG_NAME);
