--- a/src/addresses/table.rs
+++ b/src/addresses/table.rs
@@ -26,7 +26,7 @@
     /// Nothing listens there, or the address doesn't exist or may not be used.
     Refused,
     /// The dial was not connected at the race's deadline.
-    NotUp,
+    ConnectTimeout,
     /// Another endpoint, dialed later, connected first, or this dial was closed to make room.
     Overtaken,
     /// The connection was up, a request was sent, and nothing was received.
@@ -43,7 +43,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             Self::Refused => "refused",
-            Self::NotUp => "not connected in time",
+            Self::ConnectTimeout => "not connected in time",
             Self::Overtaken => "another endpoint connected first",
             Self::Unresponsive => "connected but unresponsive",
             Self::Broken => "broken",
--- a/src/back/connection.rs
+++ b/src/back/connection.rs
@@ -30,7 +30,7 @@
     pub(super) opens_id: Option<String>,
     /// The attempt must not be repeated, so it should not share its connection: a fault of another answer
     /// would cost it its own.
-    pub(super) alone: bool,
+    pub(super) exclusive: bool,
     /// How often the frame was moved from a connection that closed.
     pub(super) moves: u8,
 }
@@ -72,7 +72,7 @@
 pub(super) struct Outstanding {
     pub(super) purpose: Purpose,
     pub(super) progress: Progress,
-    pub(super) alone: bool,
+    pub(super) exclusive: bool,
 }
 
 impl Connection {
@@ -105,9 +105,12 @@
     }
 
     /// Whether a further request should rather go to another connection.
-    pub(super) fn is_crowded(&self, alone: bool) -> bool {
-        let max =
-            if alone || self.outstanding.values().any(|open| open.alone) { 1 } else { CROWDED_ATTEMPTS };
+    pub(super) fn is_crowded(&self, exclusive: bool) -> bool {
+        let max = if exclusive || self.outstanding.values().any(|open| open.exclusive) {
+            1
+        } else {
+            CROWDED_ATTEMPTS
+        };
         self.outstanding.len() >= max
     }
 
--- a/src/back/dials.rs
+++ b/src/back/dials.rs
@@ -144,12 +144,12 @@
             let progress = Progress::NotConnected;
             connection
                 .outstanding
-                .insert(tag.clone(), Outstanding { purpose: Purpose::Greeting, progress, alone: false });
+                .insert(tag.clone(), Outstanding { purpose: Purpose::Greeting, progress, exclusive: false });
             connection.output.push_front(Frame {
                 bytes,
                 call: None,
                 opens_id: Some(tag),
-                alone: false,
+                exclusive: false,
                 moves: 0,
             });
             connection.greeting_deadline = Some(now + greeting_ms);
--- a/src/back/mod.rs
+++ b/src/back/mod.rs
@@ -228,7 +228,7 @@
             bytes: encode_request(call, call.fetch.timeout_ms),
             call: Some(call.clone()),
             opens_id: Some(id),
-            alone: call.alone,
+            exclusive: call.alone,
             moves: 0,
         };
         self.queue(now, Purpose::Attempt(attempt), machine, frame, true)
@@ -239,7 +239,7 @@
         self.next_probe += 1;
         let tag = format!("probe{}", self.next_probe);
         let bytes = resp::frame(&[b"STAT", tag.as_bytes()]);
-        let frame = Frame { bytes, call: None, opens_id: Some(tag), alone: false, moves: 0 };
+        let frame = Frame { bytes, call: None, opens_id: Some(tag), exclusive: false, moves: 0 };
         self.queue(now, Purpose::Probe, machine, frame, true)
     }
 
@@ -259,8 +259,9 @@
         }
         let reusable = |connection: &Connection| may_reuse || connection.connected_at.is_none();
         // An attempt that must not be repeated does not test an endpoint.
-        let suitable =
-            |connection: &Connection| reusable(connection) && !(frame.alone && connection.trial.is_some());
+        let suitable = |connection: &Connection| {
+            reusable(connection) && !(frame.exclusive && connection.trial.is_some())
+        };
         let usable = own().filter(|(_, connection)| {
             suitable(connection) && connection.accepts(now, &self.addresses, &id, self.max_streams)
         });
@@ -268,7 +269,7 @@
         // preferred endpoint before others, so that those become idle once it is back, and a less loaded one
         // before others. Crowded connections come last; otherwise each further attempt would dial another
         // one.
-        let crowded = |connection: &Connection| connection.is_crowded(frame.alone);
+        let crowded = |connection: &Connection| connection.is_crowded(frame.exclusive);
         let rank = |connection: &Connection| {
             connection.endpoint.as_ref().map_or(0, |endpoint| self.addresses.preference(machine, endpoint))
         };
@@ -304,9 +305,10 @@
         if let Purpose::Attempt(attempt) = purpose {
             self.by_attempt.insert(attempt, (key, id.clone()));
         }
-        connection
-            .outstanding
-            .insert(id, Outstanding { purpose, progress: Progress::NotConnected, alone: frame.alone });
+        connection.outstanding.insert(
+            id,
+            Outstanding { purpose, progress: Progress::NotConnected, exclusive: frame.exclusive },
+        );
         connection.output.push_back(frame);
         Ok((key, new))
     }
@@ -336,7 +338,13 @@
             connection.output.retain(|frame| frame.opens_id.as_ref() != Some(&id));
         } else {
             let bytes = resp::frame(&[b"STOP", id.as_bytes()]);
-            connection.output.push_back(Frame { bytes, call: None, opens_id: None, alone: false, moves: 0 });
+            connection.output.push_back(Frame {
+                bytes,
+                call: None,
+                opens_id: None,
+                exclusive: false,
+                moves: 0,
+            });
             connection.close_id(now, id);
         }
         connection.idle_since = now;
@@ -503,7 +511,7 @@
                     now,
                     &connection.machine,
                     &dial.endpoint,
-                    EndpointFailure::NotUp,
+                    EndpointFailure::ConnectTimeout,
                 ));
             }
         }
--- a/src/front.rs
+++ b/src/front.rs
@@ -57,7 +57,7 @@
     /// The client has aborted the request.
     Aborted(u64),
     /// An incomplete request is rejected because its connection is about to be closed.
-    CutShort(u64),
+    RequestTruncated(u64),
 }
 
 /// How much of a request has been received.
@@ -396,7 +396,7 @@
         for open in self.open.values_mut().filter(|open| open.is_incomplete()) {
             let (params, body) = open.end_input(Stage::Rejected);
             self.buffered_bytes -= params.len() + body.len();
-            rejected.push(ClientEvent::CutShort(open.serial));
+            rejected.push(ClientEvent::RequestTruncated(open.serial));
         }
         rejected
     }
--- a/src/runtime/clients.rs
+++ b/src/runtime/clients.rs
@@ -31,7 +31,7 @@
         }
         front::ClientEvent::HealthCheck(serial) => Input::Health { client: client(serial) },
         front::ClientEvent::Aborted(serial) => Input::Aborted { client: client(serial) },
-        front::ClientEvent::CutShort(serial) => Input::CutShort { client: client(serial) },
+        front::ClientEvent::RequestTruncated(serial) => Input::CutShort { client: client(serial) },
     }
 }
 
--- a/src/runtime/socket.rs
+++ b/src/runtime/socket.rs
@@ -100,7 +100,7 @@
         (Verdict::WouldBlock, Endpoint::Tcp(_)) => DialError::NoRoom,
         (Verdict::Unreachable, _) => DialError::Unreachable,
         (Verdict::Peer, _) if error.kind() == ErrorKind::TimedOut => {
-            DialError::Failed(EndpointFailure::NotUp)
+            DialError::Failed(EndpointFailure::ConnectTimeout)
         }
         (Verdict::Peer, _) => DialError::Failed(EndpointFailure::Refused),
     }
