--- a/src/policy.rs
+++ b/src/policy.rs
@@ -195,7 +195,7 @@
     check_after_ms: Millis,
     expected_fills: f64,
     outcome: Option<Outcome>,
-    /// The machine that is held responsible for its failure.
+    /// The machine that its failure counts against.
     blamed: Option<NodeIndex>,
 }
 
@@ -640,7 +640,8 @@
         let ttfbs = self.origin_ttfbs.iter().filter(|(_, at)| now - at <= MEASUREMENT_TTL_MS);
         let mut ttfbs: Vec<Millis> = ttfbs.map(|(ttfb, _)| *ttfb).collect();
         ttfbs.sort_by(f64::total_cmp);
-        // Where fills from the origin are not told apart, many times are those of a parent's own copies.
+        // Without details, a fill from the origin looks like one from a parent's copy, so many of the times
+        // are short: the third shortest counts.
         let rank = if self.settings.detail == Detail::All { 0 } else { 2 };
         let queue = ttfbs.get(rank).copied().unwrap_or(0.0) / (aim - transfer_ms).max(1.0);
         let withhold_share = withhold_share.max((queue - ORIGIN_SLOW_SHARE) / (1.0 - ORIGIN_SLOW_SHARE));
@@ -667,7 +668,8 @@
             (advised, Refusal::RefusedByPlugin),
             (tries >= most, Refusal::AttemptsExhausted),
             (unknown, Refusal::UnknownObject),
-            (left <= transfer_ms, Refusal::DeadlineUnreachable), // No machine could serve it in time: spend no link time.
+            // No machine could serve it in time, so no link time is spent on it.
+            (left <= transfer_ms, Refusal::DeadlineUnreachable),
             (overloaded, Refusal::Overload),
             (not_cached, Refusal::NotCached),
         ];
@@ -1031,8 +1033,8 @@
         if cache != source && (filled || unfilled) {
             record(&mut self.fill_failures, now, f64::from(u8::from(!filled)));
         }
-        // Where failures are not told apart, these are put down to the source: rejections while fills fail,
-        // and a cache's first error.
+        // Without the cause of a failure, these are put down to the source: rejections while fills fail, and
+        // a cache's first error.
         let failing = full && recent(self.fill_failures, now) > Some(FILLS_FAILING_SHARE);
         let failing = failing || result.outcome == Outcome::Error && !repeated_error;
         let by_source = by_source || self.settings.detail == Detail::Hit && cache != source && failing;
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -202,8 +202,8 @@
     };
     assert!(out >= 5);
     assert!(is_refusal(&driver.end_attempt(&look, 0, Outcome::Miss, None)), "a miss is refused at once");
-    let held = fetch(&driver.request_sized(READ, "held", 1000.0));
-    assert_eq!(held.source, held.cache, "a lookup without a fill");
+    let cached = fetch(&driver.request_sized(READ, "held", 1000.0));
+    assert_eq!(cached.source, cached.cache, "a lookup without a fill");
     assert!(!is_refusal(&driver.request_sized(READ, "tiny", 20.0)));
 }
 
