--- a/src/reducer/mod.rs
+++ b/src/reducer/mod.rs
@@ -350,9 +350,9 @@
             Input::Probed { machine, outcome, report } => {
                 self.events.push_back(Event::Probed { cache: machine, outcome, report });
             }
-            Input::DiscoveryEvent { notice, unix } => {
+            Input::DiscoveryEvent { event, unix } => {
                 self.wall_clock.observe(now, unix);
-                self.discovery_event(now, notice);
+                self.discovery_event(now, event);
             }
             Input::ClocksRead { unix } => self.wall_clock.observe(now, unix),
             Input::TimersDue => self.run_due_timers(now),
--- a/src/reducer/words.rs
+++ b/src/reducer/words.rs
@@ -181,7 +181,7 @@
     /// An event of the discovery service.
     DiscoveryEvent {
         /// The event.
-        notice: DiscoveryEvent,
+        event: DiscoveryEvent,
         /// The wall clock's time now.
         unix: UnixTime,
     },
--- a/src/runtime/board.rs
+++ b/src/runtime/board.rs
@@ -55,8 +55,10 @@
             let stray = match response {
                 Ok(Some(received)) => {
                     let unix = UnixTime::now();
-                    let inputs =
-                        received.events.into_iter().map(|notice| Input::DiscoveryEvent { notice, unix });
+                    let inputs = received
+                        .events
+                        .into_iter()
+                        .map(|notice| Input::DiscoveryEvent { event: notice, unix });
                     self.inbox.extend(inputs);
                     for problem in &received.problems {
                         log_line!("malformed discovery event, interpreted restrictively: {problem}");
--- a/src/runtime/mod.rs
+++ b/src/runtime/mod.rs
@@ -276,7 +276,9 @@
         fleet_member,
     };
     let unix = UnixTime::now();
-    state.inbox.extend(config.known_events.into_iter().map(|notice| Input::DiscoveryEvent { notice, unix }));
+    state
+        .inbox
+        .extend(config.known_events.into_iter().map(|notice| Input::DiscoveryEvent { event: notice, unix }));
     state.view_record_path = operator.record;
     state.load_plugins(operator.plugins);
     state.sync_state();
--- a/tests/clock_steps.rs
+++ b/tests/clock_steps.rs
@@ -44,7 +44,7 @@
         self.rev += 1;
         let notice = DiscoveryEvent { rev: self.rev, announcement: Some(word) };
         let unix = self.unix(now);
-        self.reducer.step(now, Input::DiscoveryEvent { notice, unix })
+        self.reducer.step(now, Input::DiscoveryEvent { event: notice, unix })
     }
 
     /// Sends a request and returns the oldest copy age that its attempt allows.
--- a/tests/ops.rs
+++ b/tests/ops.rs
@@ -79,7 +79,7 @@
 impl Process {
     fn start(now: f64, file: &[u8]) -> Self {
         let mut reducer = Reducer::new(common::settings(), common::net(), 7, now, UnixTime(UNIX_MS));
-        reducer.step(now, Input::DiscoveryEvent { notice: whole(), unix: UnixTime(UNIX_MS) });
+        reducer.step(now, Input::DiscoveryEvent { event: whole(), unix: UnixTime(UNIX_MS) });
         let saved = State::new(LISTEN, BOOT);
         let mut process = Self { reducer, known: NAMES.into(), heeds: BTreeSet::new(), saved };
         process.look(now, file);
@@ -136,11 +136,11 @@
                         rev: 1,
                         announcement: Some(Announcement::Pool { snapshot: false, machines }),
                     };
-                    process.step(now, Input::DiscoveryEvent { notice, unix: NOW.unix })
+                    process.step(now, Input::DiscoveryEvent { event: notice, unix: NOW.unix })
                 }
                 Step::Whole => {
                     process.known = NAMES.into();
-                    process.step(now, Input::DiscoveryEvent { notice: whole(), unix: NOW.unix })
+                    process.step(now, Input::DiscoveryEvent { event: whole(), unix: NOW.unix })
                 }
                 Step::Call(at, out, fate) => {
                     let name = NAMES[at];
@@ -244,7 +244,7 @@
                 rev: 1,
                 announcement: Some(Announcement::Pool { snapshot: true, machines }),
             };
-            reducer.step(0.0, Input::DiscoveryEvent { notice, unix: UnixTime(UNIX_MS) });
+            reducer.step(0.0, Input::DiscoveryEvent { event: notice, unix: UnixTime(UNIX_MS) });
             reducer.step(0.0, Input::ColdStartShare(*part));
             for serial in (1..=2000).filter(|serial| serial % parts.len() as u64 == at as u64) {
                 let ask = IncomingRequest {
--- a/tests/plugins.rs
+++ b/tests/plugins.rs
@@ -269,7 +269,7 @@
     fn list(&mut self, whole: bool, machines: Vec<ListedMachine>) {
         let notice =
             DiscoveryEvent { rev: 1, announcement: Some(Announcement::Pool { snapshot: whole, machines }) };
-        self.step(Input::DiscoveryEvent { notice, unix: UnixTime(1e12 + self.now) });
+        self.step(Input::DiscoveryEvent { event: notice, unix: UnixTime(1e12 + self.now) });
     }
 
     fn step(&mut self, input: Input) {
--- a/tests/reducer.rs
+++ b/tests/reducer.rs
@@ -65,7 +65,7 @@
         self.rev += 1;
         let notice = DiscoveryEvent { rev: self.rev, announcement: Some(word) };
         let unix_ms = UNIX_MS + self.now - START_MS;
-        self.step(Input::DiscoveryEvent { notice, unix: UnixTime(unix_ms) })
+        self.step(Input::DiscoveryEvent { event: notice, unix: UnixTime(unix_ms) })
     }
 
     fn request_key(&self) -> RequestKey {
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -284,14 +284,14 @@
     check.phases.extend(ENDPOINTS.iter().map(|end| (end.0.to_owned(), Phase::Serving)));
     let announcement = Some(Announcement::Pool { snapshot: true, machines: list });
     let mut inputs =
-        vec![Input::DiscoveryEvent { notice: DiscoveryEvent { rev, announcement }, unix: UnixTime(UNIX_MS) }];
+        vec![Input::DiscoveryEvent { event: DiscoveryEvent { rev, announcement }, unix: UnixTime(UNIX_MS) }];
     for step in 0..STEPS {
         check.now = START_MS + step as f64 * STEP_MS;
         let unix = UnixTime(UNIX_MS + check.now - START_MS);
         let discovery_event = |rev: &mut u64, announcement| {
             *rev += 1;
             Input::DiscoveryEvent {
-                notice: DiscoveryEvent { rev: *rev, announcement: Some(announcement) },
+                event: DiscoveryEvent { rev: *rev, announcement: Some(announcement) },
                 unix,
             }
         };
