--- a/src/reducer/machines.rs
+++ b/src/reducer/machines.rs
@@ -4,8 +4,8 @@
 
 impl Reducer {
     /// Applies an event of the discovery service.
-    pub(super) fn discovery_event(&mut self, now: Millis, notice: DiscoveryEvent) {
-        match notice.announcement {
+    pub(super) fn discovery_event(&mut self, now: Millis, event: DiscoveryEvent) {
+        match event.announcement {
             None => {}
             Some(Announcement::Purge { object, group, made_unix_ms }) => {
                 self.counters.purges += 1;
@@ -26,9 +26,9 @@
                 let concerned: Vec<AttemptKey> = concerned.copied().collect();
                 concerned.into_iter().for_each(|key| self.withdraw_unsent(now, key));
             }
-            Some(Announcement::Pool { snapshot: whole, machines }) => {
+            Some(Announcement::Pool { snapshot, machines }) => {
                 self.counters.lists += 1;
-                self.update_machines(now, whole, machines, false);
+                self.update_machines(now, snapshot, machines, false);
             }
         }
     }
@@ -43,16 +43,16 @@
         })
     }
 
-    /// Applies entries of the list of machines. `whole`: the list is complete, and machines that it lacks are
+    /// Applies entries of the list of machines. `snapshot`: the list is complete, and machines that it lacks are
     /// deleted. `restarted`: an operator has included the machines again, so that they count as started now.
     pub(super) fn update_machines(
         &mut self,
         now: Millis,
-        whole: bool,
+        snapshot: bool,
         machines: Vec<ListedMachine>,
         restarted: bool,
     ) {
-        if whole {
+        if snapshot {
             for (name, machine) in &mut self.machines {
                 if !machines.iter().any(|listed| listed.name == name.as_str()) {
                     (machine.phase, machine.updated_at) = (Phase::Deleted, now);
@@ -72,7 +72,7 @@
             stays
         });
         let mut entries = Vec::with_capacity(machines.len());
-        if whole {
+        if snapshot {
             self.listings.clear();
         }
         for mut listed in machines {
@@ -116,7 +116,7 @@
                 online_since: since,
             });
         }
-        let mode = match (whole, self.list_received) {
+        let mode = match (snapshot, self.list_received) {
             (true, false) => ListMode::Cached,
             (true, true) => ListMode::Full,
             (false, _) => ListMode::Changes,
--- a/tests/clock_steps.rs
+++ b/tests/clock_steps.rs
@@ -40,11 +40,11 @@
     }
 
     /// Delivers an event of the discovery service.
-    fn receive(&mut self, now: Millis, word: Announcement) -> Vec<Effect> {
+    fn receive(&mut self, now: Millis, announcement: Announcement) -> Vec<Effect> {
         self.rev += 1;
-        let notice = DiscoveryEvent { rev: self.rev, announcement: Some(word) };
+        let event = DiscoveryEvent { rev: self.rev, announcement: Some(announcement) };
         let unix = self.unix(now);
-        self.reducer.step(now, Input::DiscoveryEvent { event: notice, unix })
+        self.reducer.step(now, Input::DiscoveryEvent { event, unix })
     }
 
     /// Sends a request and returns the oldest copy age that its attempt allows.
--- a/tests/reducer.rs
+++ b/tests/reducer.rs
@@ -61,11 +61,11 @@
         self.reducer.step(self.now, input)
     }
 
-    fn discover(&mut self, word: Announcement) -> Vec<Effect> {
+    fn discover(&mut self, announcement: Announcement) -> Vec<Effect> {
         self.rev += 1;
-        let notice = DiscoveryEvent { rev: self.rev, announcement: Some(word) };
+        let event = DiscoveryEvent { rev: self.rev, announcement: Some(announcement) };
         let unix_ms = UNIX_MS + self.now - START_MS;
-        self.step(Input::DiscoveryEvent { event: notice, unix: UnixTime(unix_ms) })
+        self.step(Input::DiscoveryEvent { event, unix: UnixTime(unix_ms) })
     }
 
     fn request_key(&self) -> RequestKey {
@@ -208,7 +208,7 @@
 }
 
 #[test]
-fn without_second_copies_an_attempt_is_delayed_after_one_that_was_given_up() {
+fn without_hedging_an_attempt_is_delayed_after_one_that_was_given_up() {
     for hedging in [false, true] {
         let mut rig = Rig::new();
         let mut settings = settings();
@@ -222,7 +222,7 @@
             rig.step(Input::Progressed { attempt, progress: Progress::WrittenWhole });
             (attempt, fetch)
         };
-        // The connection breaks: without second copies, nothing is sent in the next 50 ms.
+        // The connection breaks: without hedging, nothing is sent in the next 50 ms.
         let (first, _) = written(&mut rig);
         let now = rig.connection_lost(first, Progress::WrittenWhole);
         let early = [now, rig.wait(48.0)].concat();
