--- a/src/back/connection.rs
+++ b/src/back/connection.rs
@@ -8,7 +8,7 @@
 };
 use crate::addresses::{AddressTable, DialRace, Endpoint};
 use crate::api::*;
-use crate::reducer::{Answer, AttemptKey, Call, Progress};
+use crate::reducer::{Answer, AttemptKey, OutgoingRequest, Progress};
 use crate::resp::{Decoder, ProtocolError};
 use std::collections::{HashMap, VecDeque};
 
@@ -25,7 +25,7 @@
     pub(super) bytes: Vec<u8>,
     /// The attempt that this frame carries, if any: its time limit is encoded again when the frame is
     /// written.
-    pub(super) call: Option<Call>,
+    pub(super) call: Option<OutgoingRequest>,
     /// The id under which an answer is expected; `None` for STOP.
     pub(super) opens_id: Option<String>,
     /// The attempt must not be repeated, so it should not share its connection: a fault of another answer
@@ -197,8 +197,8 @@
                     outcome,
                     body: body.cloned().unwrap_or_default(),
                     unchanged: status == b"KEEP",
-                    note: fields.get("tell").and_then(parse_note),
-                    source_wait_ms: fields.number("took"),
+                    cache_status: fields.get("tell").and_then(parse_note),
+                    source_ttfb_ms: fields.number("took"),
                     report,
                 },
             ),
--- a/src/back/mod.rs
+++ b/src/back/mod.rs
@@ -12,7 +12,7 @@
 use crate::addresses::{AddressSettings, AddressTable, DialKey, Endpoint, EndpointFailure, Listing};
 use crate::api::*;
 use crate::reasons::EndpointClose;
-use crate::reducer::{Answer, AttemptKey, Call, Progress};
+use crate::reducer::{Answer, AttemptKey, OutgoingRequest, Progress};
 use crate::resp::{self, ProtocolError};
 use connection::{Connection, Frame, Outstanding, Purpose};
 use dials::pause_endpoint;
@@ -221,14 +221,14 @@
         now: Millis,
         attempt: AttemptKey,
         machine: &CacheId,
-        call: &Call,
+        call: &OutgoingRequest,
     ) -> Result<(ConnectionKey, bool), SendError> {
-        let id = call.ask.id.clone();
+        let id = call.request.id.clone();
         let frame = Frame {
             bytes: encode_request(call, call.fetch.timeout_ms),
             call: Some(call.clone()),
             opens_id: Some(id),
-            exclusive: call.alone,
+            exclusive: call.exclusive_connection,
             moves: 0,
         };
         self.queue(now, Purpose::Attempt(attempt), machine, frame, true)
@@ -610,11 +610,11 @@
             let empty = connection.outstanding.is_empty() && connection.output.is_empty();
             let expired = connection.deadline(self.idle_ms).is_some_and(|at| at <= now);
             match connection.connected_at {
-                None if connection.retired && empty => Some(EndpointClose::NotWanted),
+                None if connection.retired && empty => Some(EndpointClose::NotNeeded),
                 None => connection.race.as_ref().filter(|race| race.is_over(now)).map(|race| {
                     match race.lacks_resources() {
                         true => EndpointClose::NoRoom,
-                        false => EndpointClose::NotUp,
+                        false => EndpointClose::ConnectTimeout,
                     }
                 }),
                 Some(_) if connection.greeting_deadline.is_some() => {
--- a/src/back/wire.rs
+++ b/src/back/wire.rs
@@ -1,8 +1,8 @@
 //! Encoding and decoding of the fields in frames.
 
-use crate::api::{Keep, LoadReport, Millis, Note};
+use crate::api::{CacheStatus, LoadReport, Millis, Retention};
 use crate::config;
-use crate::reducer::Call;
+use crate::reducer::OutgoingRequest;
 use crate::resp;
 
 /// `name=value,name=value`, or `-` for none.
@@ -32,18 +32,18 @@
     }
 }
 
-pub(super) fn parse_note(name: &str) -> Option<Note> {
+pub(super) fn parse_note(name: &str) -> Option<CacheStatus> {
     Some(match name {
-        "cached" => Note::Hit,
-        "fetched" => Note::Filled,
-        "fetched_root" => Note::FilledFromOrigin,
-        "merged" => Note::Joined,
-        "past_fresh" => Note::Stale,
-        "up_refused" => Note::SourceRefused,
-        "up_lost" => Note::SourceLost,
-        "up_empty" => Note::SourceLacks,
-        "fills_full" => Note::NoFillPlace,
-        "root_failed" => Note::OriginFailed,
+        "cached" => CacheStatus::Hit,
+        "fetched" => CacheStatus::Filled,
+        "fetched_root" => CacheStatus::FilledFromOrigin,
+        "merged" => CacheStatus::Joined,
+        "past_fresh" => CacheStatus::Stale,
+        "up_refused" => CacheStatus::SourceRefused,
+        "up_lost" => CacheStatus::SourceUnavailable,
+        "up_empty" => CacheStatus::SourceMiss,
+        "fills_full" => CacheStatus::NoFillSlot,
+        "root_failed" => CacheStatus::OriginFailed,
         _ => return None,
     })
 }
@@ -55,8 +55,8 @@
 }
 
 /// Encodes a request with the given time limit.
-pub(super) fn encode_request(call: &Call, limit_ms: Millis) -> Vec<u8> {
-    let (ask, fetch) = (&call.ask, &call.fetch);
+pub(super) fn encode_request(call: &OutgoingRequest, limit_ms: Millis) -> Vec<u8> {
+    let (ask, fetch) = (&call.request, &call.fetch);
     let mut fields = format!("cls={}", ask.class);
     let mut field = |name: &str, value: String| fields.extend([",", name, "=", &value]);
     if let Some(object) = &ask.object {
@@ -71,21 +71,22 @@
     if fetch.source != fetch.cache {
         field("fetch", fetch.source.to_string());
     }
-    match fetch.keep {
-        Keep::No => {}
-        Keep::Low => field("retain", "1".to_owned()),
-        Keep::Middle => field("retain", "2".to_owned()),
-        Keep::High => field("retain", "3".to_owned()),
+    match fetch.retention {
+        Retention::NoStore => {}
+        Retention::Low => field("retain", "1".to_owned()),
+        Retention::Middle => field("retain", "2".to_owned()),
+        Retention::High => field("retain", "3".to_owned()),
     }
     if let Some(age) = fetch.max_age_ms {
         field("newer", (age.floor().max(1.0) as u64).to_string());
     }
-    let flags = [(fetch.join, "coalesce"), (fetch.held_only, "shallow"), (fetch.renew, "freshen")];
+    let flags =
+        [(fetch.join, "coalesce"), (fetch.cached_only, "shallow"), (fetch.background_refresh, "freshen")];
     let flags: Vec<&str> = flags.iter().filter(|(wanted, _)| *wanted).map(|(_, flag)| *flag).collect();
     if !flags.is_empty() {
         field("handle", flags.join("+"));
     }
-    if let Some(tag) = &ask.holds {
+    if let Some(tag) = &ask.client_tag {
         field("holds", tag.clone());
     }
     // Specified by the platform's list of names only, not by the protocol specification. Machines refuse a
--- a/src/bin/frostturn-simhost/wire.rs
+++ b/src/bin/frostturn-simhost/wire.rs
@@ -1,18 +1,20 @@
-//! The simulator's wire: lines to events, actions to lines. No decision is taken here.
+//! The simulator's line protocol: parses lines into events and formats actions as lines. No decision is made
+//! here.
 
 use frostturn::api::*;
 use frostturn::config::{self, number, ParseError};
 use std::fmt::Write;
 
-/// The fields of one line, taken from left to right.
+/// The tab-separated fields of one line, read from left to right.
 pub struct Fields<'a>(std::str::Split<'a, char>);
 
 impl<'a> Fields<'a> {
+    /// Returns the fields of a line, none of them read yet.
     pub fn new(line: &'a str) -> Self {
         Self(line.split('\t'))
     }
 
-    /// The next field; `None` where it is absent.
+    /// Returns the next field; `None` where it is absent, empty or `-`.
     pub fn optional(&mut self) -> Option<&'a str> {
         self.0.next().filter(|text| !text.is_empty() && *text != "-")
     }
@@ -21,6 +23,7 @@
         self.optional().ok_or_else(|| format!("{what} is missing"))
     }
 
+    /// Returns the next field as a whole number. `what` names the field in errors.
     pub fn whole(&mut self, what: &str) -> Result<u64, ParseError> {
         whole(self.required(what)?, what)
     }
@@ -29,6 +32,7 @@
         self.optional().map_or(Ok(0), |text| whole(text, what))
     }
 
+    /// Returns the next field as a number. `what` names the field in errors.
     pub fn number(&mut self, what: &str) -> Result<f64, ParseError> {
         number(self.required(what)?, what)
     }
@@ -37,7 +41,7 @@
         self.optional().map(|text| number(text, what)).transpose()
     }
 
-    /// A name or id that may be absent, written as `-` or 0.
+    /// Returns a name or an id that may be absent, which is written as `-` or 0.
     fn name_or_none(&mut self) -> Option<&'a str> {
         self.optional().filter(|text| *text != "0")
     }
@@ -67,18 +71,18 @@
     })
 }
 
-fn note(code: u64) -> Option<Note> {
+fn cache_status(code: u64) -> Option<CacheStatus> {
     Some(match code {
-        1 => Note::Hit,
-        2 => Note::Filled,
-        3 => Note::FilledFromOrigin,
-        4 => Note::Joined,
-        5 => Note::Stale,
-        6 => Note::SourceRefused,
-        7 => Note::SourceLost,
-        8 => Note::SourceLacks,
-        9 => Note::NoFillPlace,
-        10 => Note::OriginFailed,
+        1 => CacheStatus::Hit,
+        2 => CacheStatus::Filled,
+        3 => CacheStatus::FilledFromOrigin,
+        4 => CacheStatus::Joined,
+        5 => CacheStatus::Stale,
+        6 => CacheStatus::SourceRefused,
+        7 => CacheStatus::SourceUnavailable,
+        8 => CacheStatus::SourceMiss,
+        9 => CacheStatus::NoFillSlot,
+        10 => CacheStatus::OriginFailed,
         _ => return None,
     })
 }
@@ -88,19 +92,19 @@
     for pair in text.unwrap_or_default().split(',').filter(|pair| !pair.is_empty()) {
         let (name, value) =
             pair.split_once(':').or_else(|| pair.split_once('=')).ok_or("a report value has no name")?;
-        if let Some(slot) = config::report_value(&mut report, name) {
-            *slot = Some(number(value, name)?);
+        if let Some(target) = config::report_value(&mut report, name) {
+            *target = Some(number(value, name)?);
         }
     }
     Ok(report)
 }
 
-/// Reads one `ROW` line of an inventory, its name taken off already.
+/// Parses one `ROW` line of an inventory, after its name.
 pub fn row(mut fields: Fields) -> Result<ListEntry, ParseError> {
     let kind = fields.optional().unwrap_or_default().into();
     let cell = fields.whole_or_zero("Block")?;
     let zone = fields.optional().unwrap_or_default().into();
-    let rating = fields.number_or_none("Rating")?.unwrap_or(1.0);
+    let weight = fields.number_or_none("Rating")?.unwrap_or(1.0);
     let phase = match fields.required("Phase")? {
         "SERVING" => Phase::Serving,
         "DRAINING" => Phase::Draining,
@@ -109,16 +113,16 @@
     };
     let online_since = fields.number_or_none("OnlineSinceMs")?.filter(|since| *since > 0.0);
     let cache = fields.required("Cache")?.into();
-    Ok(ListEntry { cache, kind, cell, zone, rating, phase, online_since })
+    Ok(ListEntry { cache, kind, cell, zone, weight, phase, online_since })
 }
 
-/// Reads the mode and the page of a `MEMBERSHIP` line.
+/// Parses the mode and the page number of a `MEMBERSHIP` line.
 pub fn membership(mut fields: Fields) -> Result<(ListMode, Option<u64>), ParseError> {
     let mode = match fields.required("Mode")? {
         "incr" => ListMode::Changes,
         "total" => ListMode::Full,
-        "warm_copy" => ListMode::Held,
-        "lost" => ListMode::Lost,
+        "warm_copy" => ListMode::Cached,
+        "lost" => ListMode::Failed,
         other => return Err(format!("unknown mode {other}")),
     };
     fields.whole_or_zero("Generation")?;
@@ -126,7 +130,7 @@
     Ok((mode, page))
 }
 
-/// Reads an event other than a list; `None` for a message that is not known.
+/// Parses an event other than a list; `None` if the name is unknown.
 pub fn event(
     name: &str,
     mut fields: Fields,
@@ -149,17 +153,17 @@
             attempt: fields.whole("Go")? as usize,
             cache: fields.required("Cache")?.into(),
             outcome: outcome(fields.whole("How")?)?,
-            waited_ms: fields.number("WaitTimeMs")?,
+            elapsed_ms: fields.number("WaitTimeMs")?,
             last: fields.whole_or_zero("Last")? != 0,
-            note: note(fields.whole_or_zero("Note")?),
-            source_wait_ms: fields.number_or_none("SourceWaitMs")?,
+            cache_status: cache_status(fields.whole_or_zero("Note")?),
+            source_ttfb_ms: fields.number_or_none("SourceWaitMs")?,
             report: report(fields.optional())?,
-            size_kb: None, // Bytes aren't counted there.
+            size_kb: None, // The simulator does not count bytes.
         }),
         "FIRST" => {
             Event::Started { id: fields.required("Xid")?.into(), attempt: fields.whole("Go")? as usize }
         }
-        "DROPPED" => Event::Dropped { id: fields.required("Xid")?.into() },
+        "DROPPED" => Event::Aborted { id: fields.required("Xid")?.into() },
         "WAKE" => Event::Timer(Token(fields.whole("Cookie")?)),
         "ECHO" => {
             let cache = fields.required("Cache")?.into();
@@ -176,29 +180,31 @@
     }))
 }
 
-/// Reads the pairs of a `SPAWN` line.
+/// Parses the settings of a `SPAWN` line.
 pub fn settings(fields: Fields) -> Result<Settings, ParseError> {
     config::settings(&fields.0.filter_map(|pair| pair.split_once('=')).collect())
 }
 
-/// Writes one action of an instance as a line.
+/// Appends one action of an instance as a line.
 pub fn action(out: &mut String, instance: u64, action: &Action) {
-    // Writing to a `String` cannot fail.
+    // Writing to a `String` does not fail.
     let _ = match action {
         Action::Fetch(fetch) => {
-            let how = u8::from(fetch.join) + 2 * u8::from(fetch.held_only) + 8 * u8::from(fetch.renew);
-            let rank = match fetch.keep {
-                Keep::No => 0,
-                Keep::Low => 1,
-                Keep::Middle => 2,
-                Keep::High => 3,
+            let how = u8::from(fetch.join)
+                + 2 * u8::from(fetch.cached_only)
+                + 8 * u8::from(fetch.background_refresh);
+            let rank = match fetch.retention {
+                Retention::NoStore => 0,
+                Retention::Low => 1,
+                Retention::Middle => 2,
+                Retention::High => 3,
             };
             let (id, cache, source) = (&fetch.id, &fetch.cache, &fetch.source);
             let (timeout, age) = (fetch.timeout_ms, fetch.max_age_ms.unwrap_or(0.0));
             writeln!(out, "GET\t{instance}\t{id}\t{cache}\t{how}\t{timeout:.3}\t{source}\t{age:.3}\t{rank}")
         }
-        Action::Refuse { id, hold_off_ms, .. } => {
-            writeln!(out, "PUSH_BACK\t{instance}\t{id}\t{:.1}", hold_off_ms.unwrap_or(0.0))
+        Action::Refuse { id, retry_after_ms, .. } => {
+            writeln!(out, "PUSH_BACK\t{instance}\t{id}\t{:.1}", retry_after_ms.unwrap_or(0.0))
         }
         Action::Fail { id, .. } => writeln!(out, "LOSE\t{instance}\t{id}"),
         Action::Abandon { id, attempt } => writeln!(out, "ABANDON\t{instance}\t{id}\t{attempt}"),
--- a/src/config.rs
+++ b/src/config.rs
@@ -91,7 +91,7 @@
 
 impl LoadError {
     fn unreadable(path: &std::path::Path, error: &std::io::Error) -> Self {
-        Self { message: format!("{}: {error}", path.display()), transient: errno::may_pass(error) }
+        Self { message: format!("{}: {error}", path.display()), transient: errno::is_transient(error) }
     }
 }
 
@@ -276,15 +276,15 @@
 /// Parses the settings of the decision module.
 pub fn settings(options: &Options) -> Result<Settings, ParseError> {
     let guarantees = Guarantees {
-        grace_to_answer_ms: options.number("Guarantees.GraceToAnswerMs")?,
+        answer_grace_ms: options.number("Guarantees.GraceToAnswerMs")?,
         stop_sending_ms: options.number("Guarantees.StopSendingWithinMs")?,
-        cold_from: options.number("Guarantees.ColdFrom")?,
-        cold_ms: options.number("Guarantees.ColdMs")?,
-        fall_multiple: options.number("Guarantees.FallMultiple")?,
+        cold_start_share: options.number("Guarantees.ColdFrom")?,
+        cold_start_ms: options.number("Guarantees.ColdMs")?,
+        overload_multiple: options.number("Guarantees.FallMultiple")?,
         overload_ms: options.number("Guarantees.OverloadForMs")?,
-        parent_cold_from: options.number("FamilyInfo.ParentColdFrom")?,
-        parent_cold_ms: options.number("FamilyInfo.UpperColdMs")?,
-        parent_fall_multiple: options.number("FamilyInfo.UpperFallMultiple")?,
+        parent_cold_start_share: options.number("FamilyInfo.ParentColdFrom")?,
+        parent_cold_start_ms: options.number("FamilyInfo.UpperColdMs")?,
+        parent_overload_multiple: options.number("FamilyInfo.UpperFallMultiple")?,
         purge_notice_ms: options.number("FamilyInfo.NoticeTimeMs")?,
         // Bounding ages for too long only costs memory; for too short a time, a purged copy could be served.
         purge_gone_ms: options.number_or("FamilyInfo.GoneEverywhereMs", DEFAULT_PURGE_AGE_BOUND_MS)?,
@@ -295,7 +295,7 @@
         probes: options.flag("Limits.Probes"),
         retry_after: options.flag("Limits.RetryAfter"),
         max_retry_after_ms: options.number("Limits.MaxRetryAfterMs")?,
-        second_copies: options.flag("Limits.SecondCopies"),
+        hedging: options.flag("Limits.SecondCopies"),
     };
     Ok(Settings {
         zone: Some(options.text("Az")).filter(|name| !name.is_empty()).map(Zone::from),
@@ -312,7 +312,7 @@
         detail: match options.text("FamilyInfo.Detail") {
             "all" => Detail::All,
             "hit" => Detail::Hit,
-            _ => Detail::Silent,
+            _ => Detail::None,
         },
         siblings: match options.text("FamilyInfo.Sideways") {
             "any" => Siblings::Any,
@@ -324,7 +324,7 @@
             "nominal" => Weights::Nominal,
             "rough" => Weights::Rough,
             "live" => Weights::Live,
-            _ => Weights::Silent,
+            _ => Weights::Unknown,
         },
         discovery: match options.text("Discovery") {
             "ask" => Discovery::Ask,
@@ -333,7 +333,7 @@
         reports: match options.text("Stats.Source") {
             "piggyback" => ReportSource::Piggyback,
             "pull" => ReportSource::Pull,
-            _ => ReportSource::Silent,
+            _ => ReportSource::None,
         },
         guarantees,
         limits,
--- a/src/fastcgi.rs
+++ b/src/fastcgi.rs
@@ -1,7 +1,7 @@
 //! FastCGI 1.0 codec. Decodes records from a byte stream and encodes them; performs no I/O. A partial record
 //! takes no more memory than its length field allows.
 
-use crate::bytes::Bytes;
+use crate::bytes::ReadBuffer;
 
 /// Record types.
 pub mod kind {
@@ -62,7 +62,7 @@
 /// Incremental decoder from bytes to records.
 #[derive(Debug, Default)]
 pub struct Decoder {
-    bytes: Bytes,
+    bytes: ReadBuffer,
 }
 
 impl Decoder {
@@ -73,12 +73,12 @@
 
     /// Returns the number of buffered bytes that do not form a complete record yet.
     pub fn pending(&self) -> usize {
-        self.bytes.rest().len()
+        self.bytes.unread().len()
     }
 
     /// Returns the next complete record, if there is one.
     pub fn next_record(&mut self) -> Result<Option<Record>, ProtocolError> {
-        let rest = self.bytes.rest();
+        let rest = self.bytes.unread();
         let Some((header, rest)) = rest.split_at_checked(HEADER_BYTES) else { return Ok(None) };
         if header[0] != 1 {
             return Err(ProtocolError::Version(header[0]));
--- a/src/front.rs
+++ b/src/front.rs
@@ -4,7 +4,7 @@
 use crate::api::Millis;
 use crate::fastcgi::{self, kind, status, Decoder, ProtocolError, Record};
 use crate::reasons::ClientClose;
-use crate::reducer::{Ask, Reply};
+use crate::reducer::{IncomingRequest, Reply};
 use std::collections::{BTreeMap, VecDeque};
 
 /// Most requests that may be open on one connection.
@@ -51,7 +51,7 @@
 pub enum ClientEvent {
     /// A request is complete, or was rejected, complete or not. With its serial number, the parsed request,
     /// and its age in milliseconds since its first record.
-    Request(u64, Result<Ask, &'static str>, Millis),
+    Request(u64, Result<IncomingRequest, &'static str>, Millis),
     /// A health check asks whether this router is ready.
     HealthCheck(u64),
     /// The client has aborted the request.
@@ -334,7 +334,7 @@
             return false;
         };
         if self.open.remove(&request).is_some_and(|open| !open.keep_connection) {
-            self.close_when_done.get_or_insert(ClientClose::NotKept);
+            self.close_when_done.get_or_insert(ClientClose::NoKeepConn);
         }
         let (head, body): (String, &[u8]) = match reply {
             Reply::Served(body) => {
@@ -342,13 +342,14 @@
                 (format!("Status: 200 OK\r\nContent-Type: application/octet-stream\r\nContent-Length: {length}\r\n\r\n"), body)
             }
             Reply::Unchanged => ("Status: 200 OK\r\nX-Valid: 1\r\nContent-Length: 0\r\n\r\n".to_owned(), b""),
-            Reply::Refused { hold_off_ms, .. } => {
-                let wait = hold_off_ms.map(|ms| format!("Retry-After-Ms: {}\r\n", ms.ceil().max(0.0) as u64));
+            Reply::Refused { retry_after_ms, .. } => {
+                let wait =
+                    retry_after_ms.map(|ms| format!("Retry-After-Ms: {}\r\n", ms.ceil().max(0.0) as u64));
                 let wait = wait.unwrap_or_default();
                 (format!("Status: 503 Service Unavailable\r\n{wait}Content-Length: 0\r\n\r\n"), b"")
             }
             Reply::Failed(failure) => {
-                let why = failure.words();
+                let why = failure.message();
                 (format!("Status: 502 Bad Gateway\r\nX-Reason: {why}\r\nContent-Length: 0\r\n\r\n"), b"")
             }
             Reply::Health(true) => ("Status: 200 OK\r\nContent-Length: 0\r\n\r\n".to_owned(), b""),
@@ -431,8 +432,11 @@
         let silent = quiet && !self.had_request && now - self.opened_at > REQUEST_READ_TIMEOUT_MS;
         let idle = quiet && now - self.last_activity_at > IDLE_TIMEOUT_MS;
         let stalled = self.unwritten_bytes > 0 && now - self.last_write_at > self.write_timeout_ms;
-        let reasons =
-            [(idle, ClientClose::Idle), (stalled, ClientClose::Deaf), (silent, ClientClose::Silent)];
+        let reasons = [
+            (idle, ClientClose::Idle),
+            (stalled, ClientClose::WriteTimeout),
+            (silent, ClientClose::RequestTimeout),
+        ];
         if let Some((_, reason)) = reasons.into_iter().find(|(holds, _)| *holds) {
             return TimeoutStatus::Connection(reason);
         }
@@ -565,7 +569,7 @@
 
 /// Parses the parameters of a request. Malformed requests are not forwarded: a machine would answer with an
 /// error, or close the connection with all attempts on it.
-fn parse_request(pairs: &[(&[u8], &[u8])], body: Vec<u8>) -> Result<Ask, &'static str> {
+fn parse_request(pairs: &[(&[u8], &[u8])], body: Vec<u8>) -> Result<IncomingRequest, &'static str> {
     let text = |name: &'static str| param(pairs, name);
     let class = text("SCRIPT_NAME")?.and_then(|path| path.strip_prefix("/ops/")).ok_or("no such path")?;
     let id = text("HTTP_X_REQUEST_ID")?.filter(|id| is_hex_id(id)).ok_or("X-Request-Id is missing or bad")?;
@@ -595,7 +599,7 @@
     if idempotency_key.is_some_and(|key| !is_field_value(key)) {
         return Err("Idempotency-Key is bad");
     }
-    Ok(Ask {
+    Ok(IncomingRequest {
         id: id.to_owned(),
         class: class.to_owned(),
         timeout_ms: number_within(timeout, MAX_TIMEOUT_MS, "X-Timeout-Ms is bad")?,
@@ -608,7 +612,7 @@
         piece,
         group: group.unwrap_or(0),
         size_kb: size.filter(|kb| *kb > 0.0),
-        holds: holds.map(str::to_owned),
+        client_tag: holds.map(str::to_owned),
         idempotency_key: idempotency_key.map(Into::into),
         body,
     })
--- a/src/resp.rs
+++ b/src/resp.rs
@@ -1,6 +1,6 @@
 //! RESP codec for arrays of bulk strings. Incremental, bounded in memory, and without I/O.
 
-use crate::bytes::Bytes;
+use crate::bytes::ReadBuffer;
 
 /// Most parts of one frame.
 const MAX_PARTS: usize = 8;
@@ -16,7 +16,7 @@
 /// Incremental decoder from bytes to frames.
 #[derive(Debug, Default)]
 pub struct Decoder {
-    bytes: Bytes,
+    bytes: ReadBuffer,
     /// Parts of the current frame that are not decoded yet.
     parts_remaining: usize,
     /// Length of the next part in bytes, once its length line is decoded.
@@ -32,12 +32,12 @@
 
     /// Whether a frame has begun and is incomplete.
     pub fn has_partial_frame(&self) -> bool {
-        self.parts_remaining > 0 || !self.bytes.rest().is_empty()
+        self.parts_remaining > 0 || !self.bytes.unread().is_empty()
     }
 
     /// Parses a length line that starts with `prefix`. Returns `None` while the line is incomplete.
     fn read_length_line(&mut self, prefix: u8, max: usize) -> Result<Option<usize>, ProtocolError> {
-        let rest = self.bytes.rest();
+        let rest = self.bytes.unread();
         let Some(end) = rest.iter().take(MAX_LENGTH_LINE_BYTES).position(|byte| *byte == b'\n') else {
             return if rest.len() >= MAX_LENGTH_LINE_BYTES {
                 Err(ProtocolError("length line too long"))
@@ -57,7 +57,7 @@
     pub fn next_frame(&mut self) -> Result<Option<Vec<Vec<u8>>>, ProtocolError> {
         loop {
             if let Some(length) = self.part_length {
-                let Some((part, rest)) = self.bytes.rest().split_at_checked(length) else {
+                let Some((part, rest)) = self.bytes.unread().split_at_checked(length) else {
                     return Ok(None);
                 };
                 let Some(end) = rest.first_chunk::<2>() else { return Ok(None) };
--- a/tests/addresses.rs
+++ b/tests/addresses.rs
@@ -7,7 +7,7 @@
 use frostturn::api::{CacheId, Millis, Phase};
 use frostturn::back::{ConnectionPool, DialAction, DialError};
 use frostturn::reasons::{AttemptCause, EndpointClose};
-use frostturn::reducer::{Ask, Call, Progress};
+use frostturn::reducer::{IncomingRequest, OutgoingRequest, Progress};
 use quickcheck::{Arbitrary, Gen, QuickCheck, Testable};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -265,21 +265,27 @@
     assert_eq!((won.endpoint, won.losers), (v4(1), vec![(2, v6(1), true)]), "the earlier dial was overtaken");
 }
 
-fn call(id: &str, alone: bool) -> Call {
-    let ask = Ask { id: id.into(), class: "swap".into(), ..Ask::default() };
+fn call(id: &str, alone: bool) -> OutgoingRequest {
+    let ask = IncomingRequest { id: id.into(), class: "swap".into(), ..IncomingRequest::default() };
     let fetch = frostturn::api::Fetch {
         id: id.into(),
         cache: "a".into(),
         join: false,
-        renew: false,
-        held_only: false,
+        background_refresh: false,
+        cached_only: false,
         timeout_ms: 900.0,
         source: "a".into(),
         max_age_ms: None,
-        keep: frostturn::api::Keep::No,
-        within_ms: None,
+        retention: frostturn::api::Retention::NoStore,
+        send_within_ms: None,
     };
-    Call { ask: ask.into(), fetch, alone, leave_by: f64::INFINITY, cause: AttemptCause::First }
+    OutgoingRequest {
+        request: ask.into(),
+        fetch,
+        exclusive_connection: alone,
+        send_by: f64::INFINITY,
+        cause: AttemptCause::First,
+    }
 }
 
 fn connection_pool() -> (ConnectionPool, CacheId) {
@@ -333,7 +339,7 @@
     pool.stop(91.0, 1);
     let closed = pool.poll_dials(91.0).into_iter().filter(|one| matches!(one, DialAction::Close(_))).count();
     assert_eq!((closed, pool.dials(key).len()), (2, 0));
-    assert_eq!(pool.expired(91.0), [(key, EndpointClose::NotWanted)]);
+    assert_eq!(pool.expired(91.0), [(key, EndpointClose::NotNeeded)]);
     assert!(pool.send(92.0, 2, &a, &call("two", false)).is_err(), "the machine has no usable endpoint");
 }
 
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,20 +1,22 @@
-//! One small driver for the module's tests: a location with caches, parents and an origin.
+//! Fixtures of the router's tests: a location with caches, parents and an origin, and a driver for a router.
 
-#![allow(dead_code)] // Each test file uses its part.
+#![allow(dead_code)] // Each test file uses only some of them.
 
 use frostturn::api::*;
 use frostturn::config::NetworkSettings;
 use frostturn::discovery::ListedMachine;
 use frostturn::Router;
 
-/// Clocks start anywhere.
+/// The clock at a driver's start: any value, since a router must not depend on it.
 pub const START_MS: Millis = 700_000_000.0;
 
+/// Classes of the settings, by index.
 pub const READ: usize = 0;
 pub const PAGE: usize = 1;
 pub const KEYED: usize = 2;
 pub const FRAGILE: usize = 3;
 
+/// Settings with the four classes, two routers and everything allowed but bypass, hedging and probes.
 pub fn settings() -> Settings {
     let class = |name: &str, repeat| ClassSettings {
         name: name.into(),
@@ -47,13 +49,13 @@
         weights: Weights::Nominal,
         guarantees: Guarantees {
             stop_sending_ms: 1000.0,
-            cold_from: 0.2,
-            cold_ms: 10_000.0,
-            fall_multiple: 2.0,
+            cold_start_share: 0.2,
+            cold_start_ms: 10_000.0,
+            overload_multiple: 2.0,
             overload_ms: 1000.0,
-            parent_cold_from: 0.1,
-            parent_cold_ms: 20_000.0,
-            parent_fall_multiple: 2.0,
+            parent_cold_start_share: 0.1,
+            parent_cold_start_ms: 20_000.0,
+            parent_overload_multiple: 2.0,
             purge_notice_ms: 500.0,
             purge_gone_ms: 6000.0,
             ..Guarantees::default()
@@ -69,19 +71,21 @@
     }
 }
 
+/// A machine that has been online for long, with a link for eight transfers.
 pub fn entry(cache: &str, kind: &str, zone: &str) -> ListEntry {
     ListEntry {
         cache: cache.into(),
         kind: kind.into(),
         cell: 0,
         zone: zone.into(),
-        rating: 8.0,
+        weight: 8.0,
         phase: Phase::Serving,
         online_since: None,
     }
 }
 
-pub fn fleet() -> Vec<ListEntry> {
+/// Four edge caches in the router's zone, one in another, two parents and the origin.
+pub fn machines() -> Vec<ListEntry> {
     let mut list: Vec<_> = ["e1", "e2", "e3", "e4"].map(|name| entry(name, "edge", "east")).into();
     list.push(entry("w1", "edge", "west"));
     list.extend(["p1", "p2"].map(|name| entry(name, "parent", "hub")));
@@ -89,6 +93,7 @@
     list
 }
 
+/// A router with its clock, the number of requests so far, and its log lines.
 pub struct Driver {
     pub router: Router,
     pub now: Millis,
@@ -97,22 +102,22 @@
 }
 
 impl Driver {
-    pub fn new(settings: Settings, fleet: Vec<ListEntry>) -> Self {
-        Self::seeded(settings, fleet, 1)
+    pub fn new(settings: Settings, machines: Vec<ListEntry>) -> Self {
+        Self::with_seed(settings, machines, 1)
     }
 
-    pub fn seeded(settings: Settings, fleet: Vec<ListEntry>, seed: u64) -> Self {
+    pub fn with_seed(settings: Settings, machines: Vec<ListEntry>, seed: u64) -> Self {
         let now = START_MS;
         let mut driver = Self { router: Router::new(settings, seed, now), now, next: 0, log: Vec::new() };
-        driver.send(Event::List { mode: ListMode::Held, entries: fleet });
+        driver.send(Event::List { mode: ListMode::Cached, entries: machines });
         driver
     }
 
-    pub fn usual() -> Self {
-        Self::new(settings(), fleet())
+    pub fn with_defaults() -> Self {
+        Self::new(settings(), machines())
     }
 
-    /// Gives the router an event; its actions, less log lines and timers.
+    /// Passes an event to the router. Returns its actions without log lines and timers.
     pub fn send(&mut self, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
         self.router.handle(self.now, event, &mut actions);
@@ -127,8 +132,8 @@
         actions
     }
 
-    /// Moves on in housekeeping steps of 100 ms.
-    pub fn wait(&mut self, span: Millis) -> Vec<Action> {
+    /// Advances the clock in steps of 100 ms, each with a timer event.
+    pub fn advance(&mut self, span: Millis) -> Vec<Action> {
         let end = self.now + span;
         let mut actions = Vec::new();
         while self.now + 100.0 <= end {
@@ -139,15 +144,15 @@
         actions
     }
 
-    pub fn ask(&mut self, class: usize, object: &str) -> Vec<Action> {
-        self.ask_sized(class, object, 100.0)
+    pub fn request(&mut self, class: usize, object: &str) -> Vec<Action> {
+        self.request_sized(class, object, 100.0)
     }
 
-    pub fn ask_sized(&mut self, class: usize, object: &str, size_kb: f64) -> Vec<Action> {
-        self.ask_piece(class, object, 0, size_kb)
+    pub fn request_sized(&mut self, class: usize, object: &str, size_kb: f64) -> Vec<Action> {
+        self.request_piece(class, object, 0, size_kb)
     }
 
-    pub fn ask_piece(&mut self, class: usize, object: &str, piece: u64, size_kb: f64) -> Vec<Action> {
+    pub fn request_piece(&mut self, class: usize, object: &str, piece: u64, size_kb: f64) -> Vec<Action> {
         self.next += 1;
         self.send(Event::Request(ClientRequest {
             id: format!("r{}", self.next).as_str().into(),
@@ -162,51 +167,59 @@
         }))
     }
 
-    pub fn end(
+    /// Ends an attempt after 20 ms.
+    pub fn end_attempt(
         &mut self,
         fetch: &Fetch,
         attempt: usize,
         outcome: Outcome,
-        note: Option<Note>,
+        cache_status: Option<CacheStatus>,
     ) -> Vec<Action> {
         self.send(Event::Result(AttemptResult {
             id: fetch.id.clone(),
             attempt,
             cache: fetch.cache.clone(),
             outcome,
-            waited_ms: 20.0,
+            elapsed_ms: 20.0,
             last: outcome == Outcome::Ok,
-            note,
-            source_wait_ms: note.map(|_| 15.0),
+            cache_status,
+            source_ttfb_ms: cache_status.map(|_| 15.0),
             report: LoadReport::default(),
             size_kb: None,
         }))
     }
 
-    /// Its first attempt is answered after so long, of which its source took so much.
-    pub fn served(&mut self, fetch: &Fetch, note: Note, waited_ms: Millis, source_wait_ms: Option<Millis>) {
+    /// Answers a first attempt after a time, of which the source took `source_ttfb_ms`.
+    pub fn answer_after(
+        &mut self,
+        fetch: &Fetch,
+        cache_status: CacheStatus,
+        elapsed_ms: Millis,
+        source_ttfb_ms: Option<Millis>,
+    ) {
         self.send(Event::Result(AttemptResult {
             id: fetch.id.clone(),
             attempt: 0,
             cache: fetch.cache.clone(),
             outcome: Outcome::Ok,
-            waited_ms,
+            elapsed_ms,
             last: true,
-            note: Some(note),
-            source_wait_ms,
+            cache_status: Some(cache_status),
+            source_ttfb_ms,
             report: LoadReport::default(),
             size_kb: None,
         }));
     }
 
-    pub fn serve(&mut self, class: usize, object: &str, note: Note) -> Fetch {
-        let fetch = fetch(&self.ask(class, object));
-        self.end(&fetch, 0, Outcome::Ok, Some(note));
+    /// Requests an object, and answers its first attempt after 20 ms.
+    pub fn serve(&mut self, class: usize, object: &str, cache_status: CacheStatus) -> Fetch {
+        let fetch = fetch(&self.request(class, object));
+        self.end_attempt(&fetch, 0, Outcome::Ok, Some(cache_status));
         fetch
     }
 }
 
-/// The fetch among the actions.
+/// Returns the fetch among the actions.
 pub fn fetch(actions: &[Action]) -> Fetch {
     let found = actions.iter().find_map(|action| match action {
         Action::Fetch(fetch) => Some(fetch.clone()),
@@ -215,15 +228,15 @@
     found.unwrap_or_else(|| panic!("no fetch in {actions:?}"))
 }
 
-pub fn refused(actions: &[Action]) -> bool {
+pub fn is_refusal(actions: &[Action]) -> bool {
     matches!(actions, [Action::Refuse { .. }])
 }
 
-pub fn failed(actions: &[Action]) -> bool {
+pub fn is_failure(actions: &[Action]) -> bool {
     matches!(actions, [Action::Fail { .. }])
 }
 
-/// A machine as the board lists it.
+/// A machine as the discovery service lists it.
 pub fn listed(name: &str, kind: &str, phase: Phase) -> ListedMachine {
     ListedMachine {
         name: name.into(),
@@ -237,7 +250,7 @@
     }
 }
 
-/// The network side's limits, wide enough for all that tests do.
+/// The limits of the network side, wide enough for all tests.
 pub fn net() -> NetworkSettings {
     NetworkSettings {
         dial_timeout_ms: 400.0,
--- a/tests/connections.rs
+++ b/tests/connections.rs
@@ -7,7 +7,7 @@
 use frostturn::fastcgi::{self, kind, Decoder, ProtocolError, Record};
 use frostturn::front::{ClientEvent, Conn, TimeoutStatus};
 use frostturn::reasons::{AttemptCause, ClientClose, EndpointClose, Refusal};
-use frostturn::reducer::{Ask, Call, Failure, Progress, Reply};
+use frostturn::reducer::{Failure, IncomingRequest, OutgoingRequest, Progress, Reply};
 use frostturn::resp;
 use quickcheck::{Arbitrary, Gen, QuickCheck, Testable};
 use std::collections::{BTreeMap, BTreeSet};
@@ -152,7 +152,7 @@
                         continue;
                     };
                     assert_eq!((ask.body.len(), ask.timeout_ms), (body, 1500.0));
-                    assert_eq!((ask.class.as_str(), ask.holds.as_deref()), ("page", Some("4be0")));
+                    assert_eq!((ask.class.as_str(), ask.client_tag.as_deref()), ("page", Some("4be0")));
                     open.insert(request, Some(*serial));
                 }
                 ClientStep::Abort { request } => {
@@ -308,7 +308,7 @@
     for serial in 2..300 {
         let at = 100.0 + 200.0 * serial as f64;
         events(conn.receive(at, &request_bytes(2, "/ops/page", ID, b""))).expect("well-formed");
-        assert!(conn.answer(serial, &Reply::Refused { hold_off_ms: None, reason: Refusal::Draining }));
+        assert!(conn.answer(serial, &Reply::Refused { retry_after_ms: None, reason: Refusal::Draining }));
         if conn.check_timeouts(at) != TimeoutStatus::Ok {
             break;
         }
@@ -322,7 +322,7 @@
     assert_eq!(Conn::new(1000.0).check_timeouts(2900.0), TimeoutStatus::Ok);
     assert_eq!(
         Conn::new(1000.0).check_timeouts(3100.0),
-        TimeoutStatus::Connection(ClientClose::Silent),
+        TimeoutStatus::Connection(ClientClose::RequestTimeout),
         "no request was ever sent"
     );
     let mut conn = Conn::new(0.0);
@@ -361,7 +361,7 @@
     assert!(conn.answer(2, &Reply::Failed(Failure::BadRequest("late"))) && conn.answer(1, &Reply::Unchanged));
     assert_eq!(
         (conn.check_timeouts(13_000.0), conn.check_timeouts(13_300.0)),
-        (TimeoutStatus::Ok, TimeoutStatus::Connection(ClientClose::Deaf)),
+        (TimeoutStatus::Ok, TimeoutStatus::Connection(ClientClose::WriteTimeout)),
         "the client accepts no bytes"
     );
     let unwritten = conn.unwritten_bytes();
@@ -489,21 +489,32 @@
     }
 }
 
-fn call(id: &str) -> Call {
-    let ask = Ask { id: id.into(), class: "page".into(), object: Some("7f3a".into()), ..Ask::default() };
+fn call(id: &str) -> OutgoingRequest {
+    let ask = IncomingRequest {
+        id: id.into(),
+        class: "page".into(),
+        object: Some("7f3a".into()),
+        ..IncomingRequest::default()
+    };
     let fetch = Fetch {
         id: id.into(),
         cache: "m".into(),
         join: true,
-        renew: true,
-        held_only: false,
+        background_refresh: true,
+        cached_only: false,
         timeout_ms: 900.2,
         source: "p".into(),
         max_age_ms: Some(15.9),
-        keep: Keep::Middle,
-        within_ms: None,
+        retention: Retention::Middle,
+        send_within_ms: None,
     };
-    Call { ask: ask.into(), fetch, alone: false, leave_by: f64::INFINITY, cause: AttemptCause::First }
+    OutgoingRequest {
+        request: ask.into(),
+        fetch,
+        exclusive_connection: false,
+        send_by: f64::INFINITY,
+        cause: AttemptCause::First,
+    }
 }
 
 fn reply(id: &str, status: &str) -> Vec<u8> {
@@ -530,8 +541,8 @@
         received.extend(one);
     }
     let [EndpointEvent::Answer(5, answer)] = &received[..] else { panic!("{received:?}") };
-    assert_eq!((answer.outcome, answer.note), (Outcome::Ok, Some(Note::FilledFromOrigin)));
-    assert_eq!((answer.source_wait_ms, answer.body.as_slice()), (Some(9.5), &b"bytes\r\n"[..]));
+    assert_eq!((answer.outcome, answer.cache_status), (Outcome::Ok, Some(CacheStatus::FilledFromOrigin)));
+    assert_eq!((answer.source_ttfb_ms, answer.body.as_slice()), (Some(9.5), &b"bytes\r\n"[..]));
     assert_eq!((answer.report.util, answer.report.link), (Some(0.61), None));
     assert_eq!(pool.receive(9.0, key, &reply("a", "DONE")).0, [EndpointEvent::Late], "a repeated answer");
     assert_eq!(pool.receive(9.0, key, &reply("never", "DONE")).0, [EndpointEvent::Unknown], "an unknown id");
@@ -696,7 +707,7 @@
     }
     let ask = ask_with("c7ab15fa3c57c2968256bea080fceb6d").expect("good");
     let (mut pool, machine) = (connection_pool(), CacheId::from("m"));
-    let call = Call { ask: ask.into(), ..call("a") };
+    let call = OutgoingRequest { request: ask.into(), ..call("a") };
     let (key, _) = pool.send(0.0, 5, &machine, &call).expect("room");
     complete_dial(&mut pool, 0.0, key);
     let text = String::from_utf8_lossy(pool.output(key).expect("the connection is up")).into_owned();
@@ -822,7 +833,7 @@
 #[test]
 fn unrepeatable_attempts_share_no_connection_and_moves_are_bounded() {
     let (mut pool, machine) = (connection_pool(), CacheId::from("m"));
-    let alone = |id: &str| Call { alone: true, ..call(id) };
+    let alone = |id: &str| OutgoingRequest { exclusive_connection: true, ..call(id) };
     let keys = [alone("a"), call("b"), call("c"), alone("d")];
     let keys = keys.iter().zip(1..).map(|(call, at)| pool.send(0.0, at, &machine, call));
     let keys: Vec<u64> = keys.map(|sent| sent.expect("room").0).collect();
@@ -870,7 +881,10 @@
 fn connections_end_when_idle_retired_or_not_connected_in_time() {
     let (mut pool, machine) = (connection_pool(), CacheId::from("m"));
     let (key, _) = pool.send(0.0, 1, &machine, &call("a")).expect("room");
-    assert_eq!((pool.expired(399.0), pool.expired(400.0)), (vec![], vec![(key, EndpointClose::NotUp)]));
+    assert_eq!(
+        (pool.expired(399.0), pool.expired(400.0)),
+        (vec![], vec![(key, EndpointClose::ConnectTimeout)])
+    );
     complete_dial(&mut pool, 10.0, key);
     assert!(pool.expired(60_000.0).is_empty(), "an attempt is outstanding");
     pool.stop(50.0, 1);
--- a/tests/plugins.rs
+++ b/tests/plugins.rs
@@ -3,13 +3,15 @@
 mod common;
 
 use common::listed;
-use frostturn::api::{CacheId, ClassSettings, Keep, Limits, Phase, Repeat, Settings};
+use frostturn::api::{CacheId, ClassSettings, Limits, Phase, Repeat, Retention, Settings};
 use frostturn::clock::UnixTime;
 use frostturn::discovery::{Announcement, DiscoveryEvent, ListedMachine};
 use frostturn::plugins::engine::{Fault, Hook, Instance};
 use frostturn::plugins::guard::{self, Allowed};
 use frostturn::plugins::{Loaded, Spec};
-use frostturn::reducer::{Answer, Ask, Client, Effect, End, Input, Progress, Reducer, Reply};
+use frostturn::reducer::{
+    Answer, AttemptEnd, Effect, IncomingRequest, Input, Progress, Reducer, Reply, RequestKey,
+};
 use frostturn_plugin_kit::{self as kit, Advice as Said, Machine, ViewHead};
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 use std::collections::BTreeMap;
@@ -205,14 +207,14 @@
         let [one, other] = both;
         let narrowed = one.merge(other);
         let advice = &narrowed.advice;
-        for (name, strength) in &advice.strengths {
+        for (name, strength) in &advice.preferences {
             let at = names.iter().position(|known| known == name).expect("an allowed machine");
             assert!(strength.abs() <= 100 && (*strength <= 0 || cold & (1 << at) == 0));
         }
         assert!(advice.max_attempts.is_none_or(|n| n >= 1 && n <= limits.max_attempts.max(1)));
         assert!(advice.max_age_ms.is_none_or(|ms| !class.uncached && (1.0..=8000.0).contains(&ms)));
-        assert!(advice.keep.is_none_or(|keep| !class.uncached && keep as u8 <= Keep::High as u8));
-        let refused = advice.refuse;
+        assert!(advice.retention.is_none_or(|keep| !class.uncached && keep as u8 <= Retention::High as u8));
+        let refused = advice.refuse_retry_after_ms;
         assert!(refused.is_none_or(|ms| may_refuse && class.repeat != Repeat::Fragile && ms <= 3000.0));
         narrowed.labels.iter().all(|label| label.len() <= 32)
     }
@@ -227,9 +229,9 @@
     reducer: Reducer,
     now: f64,
     next: u64,
-    out: BTreeMap<u64, (Client, String)>,
-    replies: BTreeMap<Client, Vec<Reply>>,
-    attempts: BTreeMap<Client, u32>,
+    out: BTreeMap<u64, (RequestKey, String)>,
+    replies: BTreeMap<RequestKey, Vec<Reply>>,
+    attempts: BTreeMap<RequestKey, u32>,
     lines: Vec<String>,
 }
 
@@ -267,20 +269,22 @@
     fn list(&mut self, whole: bool, machines: Vec<ListedMachine>) {
         let notice =
             DiscoveryEvent { rev: 1, announcement: Some(Announcement::Pool { snapshot: whole, machines }) };
-        self.step(Input::Notice { notice, unix: UnixTime(1e12 + self.now) });
+        self.step(Input::DiscoveryEvent { notice, unix: UnixTime(1e12 + self.now) });
     }
 
     fn step(&mut self, input: Input) {
         for effect in self.reducer.step(self.now, input) {
             match effect {
-                Effect::Send { attempt, member, call } => {
-                    let client =
-                        Client { conn: 1, serial: u64::from_str_radix(&call.ask.id, 16).expect("ours") };
+                Effect::Send { attempt, machine: member, request: call } => {
+                    let client = RequestKey {
+                        conn: 1,
+                        serial: u64::from_str_radix(&call.request.id, 16).expect("ours"),
+                    };
                     *self.attempts.entry(client).or_default() += 1;
                     self.out.insert(attempt, (client, member.to_string()));
                 }
                 Effect::Stop { attempt } => drop(self.out.remove(&attempt)),
-                Effect::Answer { client, reply } => self.replies.entry(client).or_default().push(reply),
+                Effect::Answer { key: client, reply } => self.replies.entry(client).or_default().push(reply),
                 Effect::Log(line) => self.lines.push(line),
                 _ => {}
             }
@@ -290,22 +294,22 @@
     /// Asks for an object; where its first attempt went, if anywhere.
     fn ask(&mut self, class: &str, object: u64) -> Option<String> {
         self.next += 1;
-        let client = Client { conn: 1, serial: self.next };
-        let ask = Ask {
+        let client = RequestKey { conn: 1, serial: self.next };
+        let ask = IncomingRequest {
             id: format!("{:016x}", self.next),
             class: class.into(),
             timeout_ms: 3000.0,
             object: Some(format!("{object:016x}")),
             size_kb: Some(10.0),
             group: 3,
-            ..Ask::default()
+            ..IncomingRequest::default()
         };
-        self.step(Input::Asked { client, ask: Ok(ask), age_ms: 0.0 });
+        self.step(Input::RequestReceived { key: client, request: Ok(ask), age_ms: 0.0 });
         self.out.values().find(|(of, _)| *of == client).map(|(_, member)| member.clone())
     }
 
     /// All that is out ends so.
-    fn end_all(&mut self, end: &End) {
+    fn end_all(&mut self, end: &AttemptEnd) {
         for attempt in self.out.keys().copied().collect::<Vec<_>>() {
             self.out.remove(&attempt);
             let progress = Progress::WrittenWhole;
@@ -315,13 +319,13 @@
     }
 }
 
-fn done() -> End {
-    End::Answer(Answer {
+fn done() -> AttemptEnd {
+    AttemptEnd::Answer(Answer {
         outcome: frostturn::api::Outcome::Ok,
         body: vec![1],
         unchanged: false,
-        note: Some(frostturn::api::Note::Hit),
-        source_wait_ms: None,
+        cache_status: Some(frostturn::api::CacheStatus::Hit),
+        source_ttfb_ms: None,
         report: frostturn::api::LoadReport::default(),
     })
 }
@@ -369,7 +373,7 @@
     let mut rig = Rig::new(&[("two", text)], &["fragile", "read"]);
     for object in 0..50 {
         assert!(rig.ask("fragile", object).is_some(), "it isn't refused");
-        rig.end_all(&End::Lost(Progress::WrittenWhole));
+        rig.end_all(&AttemptEnd::Lost(Progress::WrittenWhole));
         rig.now += 20.0;
     }
     assert!(rig.attempts.values().all(|attempts| *attempts == 1), "it may have run");
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -75,19 +75,19 @@
             origin_kind: Some("root".into()),
             bypass_allowed: random(2) == 0,
             joins: random(2) == 0,
-            detail: [Detail::All, Detail::Hit, Detail::Silent][random(3) as usize],
+            detail: [Detail::All, Detail::Hit, Detail::None][random(3) as usize],
             siblings: [Siblings::None, Siblings::Location, Siblings::Any][random(3) as usize],
             flow_kb_per_s: Some(2000.0 + random(10_000) as f64),
-            weights: [Weights::Silent, Weights::Nominal, Weights::Rough][random(3) as usize],
+            weights: [Weights::Unknown, Weights::Nominal, Weights::Rough][random(3) as usize],
             guarantees: Guarantees {
                 stop_sending_ms: 300.0 + random(2000) as f64,
-                cold_from: 0.05 + random(50) as f64 / 100.0,
-                cold_ms: 500.0 + random(15_000) as f64,
-                fall_multiple: 1.0 + random(4) as f64,
+                cold_start_share: 0.05 + random(50) as f64 / 100.0,
+                cold_start_ms: 500.0 + random(15_000) as f64,
+                overload_multiple: 1.0 + random(4) as f64,
                 overload_ms: 1000.0,
-                parent_cold_from: 0.05,
-                parent_cold_ms: 10_000.0,
-                parent_fall_multiple: 2.0,
+                parent_cold_start_share: 0.05,
+                parent_cold_start_ms: 10_000.0,
+                parent_overload_multiple: 2.0,
                 purge_notice_ms: 200.0 + random(1000) as f64,
                 purge_gone_ms: 6000.0,
                 ..Guarantees::default()
@@ -95,7 +95,7 @@
             limits: Limits {
                 max_attempts: 1 + random(6) as usize,
                 cancelling: random(2) == 0,
-                second_copies: random(2) == 0,
+                hedging: random(2) == 0,
                 retry_after: random(2) == 0,
                 max_retry_after_ms: 100.0 + random(2000) as f64,
                 ..Limits::default()
@@ -126,7 +126,7 @@
 struct AttemptState {
     request: u64,
     cell: u64,
-    leave_by: Millis,
+    send_by: Millis,
     written: Option<Millis>,
     /// The attempt is proved never to have run.
     never_ran: bool,
@@ -163,7 +163,7 @@
         self.attempts.values().filter(|tried| tried.request == request).cloned().collect()
     }
 
-    fn sent(&mut self, attempt: AttemptKey, client: u64, call: &Call) {
+    fn sent(&mut self, attempt: AttemptKey, client: u64, call: &OutgoingRequest) {
         let (fetch, now) = (&call.fetch, self.now);
         let Some(request) = self.requests.get(&client) else {
             return self.require("sent for a finished request", false);
@@ -194,7 +194,7 @@
         });
         self.require("siblings", sibling);
         self.require("joins", self.settings.joins || !fetch.join);
-        self.require("kept", !class.uncached || fetch.keep == Keep::No);
+        self.require("kept", !class.uncached || fetch.retention == Retention::NoStore);
         for name in [Some(fetch.cache.as_str()), source.map(|source| source.0)].into_iter().flatten() {
             self.require("drain", self.phases.get(name) == Some(&Phase::Serving));
         }
@@ -203,11 +203,11 @@
         self.require("purge", purged.is_none_or(|at| now - at <= notice || young(at)));
         let oldest = class.fresh_ms.map(|fresh| fresh + class.stale_ms);
         self.require("age", oldest.is_none_or(|most| fetch.max_age_ms.is_some_and(|age| age <= most)));
-        let copies = self.settings.limits.second_copies && class.repeat == Repeat::Retryable;
+        let copies = self.settings.limits.hedging && class.repeat == Repeat::Retryable;
         self.require("two at once", out == 0 || (copies && out == 1));
         let apart = |tried: &AttemptState| tried.ended_at.is_none_or(|at| now >= at + SLACK_MS - 1.0);
         let given_up = |tried: &&AttemptState| tried.written.is_some() && !tried.never_ran && !apart(tried);
-        let again = self.settings.limits.second_copies || !before.iter().any(|tried| given_up(&tried));
+        let again = self.settings.limits.hedging || !before.iter().any(|tried| given_up(&tried));
         self.require("apart", again);
         let may = match class.repeat {
             Repeat::Retryable => true,
@@ -218,7 +218,7 @@
         let tried = AttemptState {
             request: client,
             cell,
-            leave_by: call.leave_by,
+            send_by: call.send_by,
             written: None,
             never_ran: false,
             ended_at: None,
@@ -249,11 +249,12 @@
         let class = &self.settings.classes[request.class];
         let (repeat, limits) = (class.repeat, self.settings.limits.clone());
         self.require("in time", self.now <= request.deadline + SLACK_MS);
-        if let Reply::Refused { hold_off_ms, .. } = reply {
+        if let Reply::Refused { retry_after_ms, .. } = reply {
             let free = matches!(repeat, Repeat::Retryable | Repeat::Dedup { scope: DedupScope::All, .. });
             let ran = self.of(client).iter().any(|tried| tried.written.is_some() && !tried.never_ran);
             self.require("refusal", free || !ran);
-            let advised = hold_off_ms.is_none_or(|ms| limits.retry_after && ms <= limits.max_retry_after_ms);
+            let advised =
+                retry_after_ms.is_none_or(|ms| limits.retry_after && ms <= limits.max_retry_after_ms);
             self.require("retry after", advised);
         }
     }
@@ -283,13 +284,16 @@
     check.phases.extend(ENDPOINTS.iter().map(|end| (end.0.to_owned(), Phase::Serving)));
     let announcement = Some(Announcement::Pool { snapshot: true, machines: list });
     let mut inputs =
-        vec![Input::Notice { notice: DiscoveryEvent { rev, announcement }, unix: UnixTime(UNIX_MS) }];
+        vec![Input::DiscoveryEvent { notice: DiscoveryEvent { rev, announcement }, unix: UnixTime(UNIX_MS) }];
     for step in 0..STEPS {
         check.now = START_MS + step as f64 * STEP_MS;
         let unix = UnixTime(UNIX_MS + check.now - START_MS);
         let discovery_event = |rev: &mut u64, announcement| {
             *rev += 1;
-            Input::Notice { notice: DiscoveryEvent { rev: *rev, announcement: Some(announcement) }, unix }
+            Input::DiscoveryEvent {
+                notice: DiscoveryEvent { rev: *rev, announcement: Some(announcement) },
+                unix,
+            }
         };
         let out: Vec<AttemptKey> = check
             .attempts
@@ -309,21 +313,24 @@
                 check
                     .requests
                     .insert(serial, RequestState { class, group, object: object.clone(), deadline });
-                let ask = Ask {
+                let ask = IncomingRequest {
                     id: format!("{serial:016x}"),
                     class: settings.name.clone(),
                     timeout_ms,
                     object: Some(object),
                     group,
                     size_kb: (random(2) == 0).then(|| 1.0 + random(500) as f64),
-                    ..Ask::default()
+                    ..IncomingRequest::default()
                 };
-                let client = Client { conn: 1, serial };
-                inputs.push(Input::Asked { client, ask: Ok(ask), age_ms: 0.0 });
+                let client = RequestKey { conn: 1, serial };
+                inputs.push(Input::RequestReceived { key: client, request: Ok(ask), age_ms: 0.0 });
             }
             (5..=9, Some(attempt)) if check.attempts[&attempt].written.is_none() => {
-                if check.attempts[&attempt].leave_by < check.now {
-                    inputs.push(Input::Ended { attempt, end: End::Withheld(Withheld::TooLate) });
+                if check.attempts[&attempt].send_by < check.now {
+                    inputs.push(Input::Ended {
+                        attempt,
+                        end: AttemptEnd::Withheld(Withheld::SendWindowExpired),
+                    });
                     check.attempts.entry(attempt).and_modify(|tried| {
                         (tried.never_ran, tried.ended_at) = (true, Some(check.now));
                     });
@@ -342,16 +349,17 @@
                     .attempts
                     .entry(attempt)
                     .and_modify(|tried| (tried.never_ran, tried.ended_at) = (never_ran, Some(ended_at)));
-                let (note, report) = ((random(3) == 0).then_some(Note::Filled), LoadReport::default());
+                let (cache_status, report) =
+                    ((random(3) == 0).then_some(CacheStatus::Filled), LoadReport::default());
                 let answer = Answer {
                     outcome,
                     body: vec![1; 9],
                     unchanged: false,
-                    note,
-                    source_wait_ms: None,
+                    cache_status,
+                    source_ttfb_ms: None,
                     report,
                 };
-                inputs.push(Input::Ended { attempt, end: End::Answer(answer) });
+                inputs.push(Input::Ended { attempt, end: AttemptEnd::Answer(answer) });
             }
             (13, Some(attempt)) => {
                 let written = check.attempts[&attempt].written.is_some();
@@ -359,13 +367,13 @@
                 check.attempts.entry(attempt).and_modify(|tried| {
                     (tried.never_ran, tried.ended_at) = (!written, Some(check.now));
                 });
-                inputs.push(Input::Ended { attempt, end: End::Lost(progress) });
+                inputs.push(Input::Ended { attempt, end: AttemptEnd::Lost(progress) });
             }
             (14, _) if !check.requests.is_empty() => {
                 let serial =
                     *check.requests.keys().nth(random(check.requests.len() as u64) as usize).expect("one");
                 check.requests.remove(&serial);
-                inputs.push(Input::Aborted { client: Client { conn: 1, serial } });
+                inputs.push(Input::Aborted { key: RequestKey { conn: 1, serial } });
             }
             (15, _) => {
                 let end = &ENDPOINTS[random(ENDPOINTS.len() as u64) as usize];
@@ -387,12 +395,12 @@
             }
             _ => {}
         }
-        inputs.push(Input::Due);
+        inputs.push(Input::TimersDue);
         for input in inputs.drain(..) {
             for effect in reducer.step(check.now, input) {
                 match effect {
-                    Effect::Send { attempt, call, .. } => {
-                        let client = u64::from_str_radix(&call.ask.id, 16).expect("an id of this test");
+                    Effect::Send { attempt, request: call, .. } => {
+                        let client = u64::from_str_radix(&call.request.id, 16).expect("an id of this test");
                         check.sent(attempt, client, &call);
                     }
                     Effect::Stop { attempt } => {
@@ -402,7 +410,7 @@
                             tried.ended_at = tried.ended_at.or(Some(now));
                         });
                     }
-                    Effect::Answer { client, reply } => check.answered(client.serial, &reply),
+                    Effect::Answer { key: client, reply } => check.answered(client.serial, &reply),
                     _ => {}
                 }
             }
@@ -430,7 +438,7 @@
     type Ignore = fn(&mut Settings);
     let ignores: [(&str, Ignore); 13] = [
         ("attempts", |s| s.limits.max_attempts += 2),
-        ("two at once", |s| s.limits.second_copies = true),
+        ("two at once", |s| s.limits.hedging = true),
         ("joins", |s| s.joins = true),
         ("siblings", |s| s.siblings = Siblings::Any),
         ("bypass", |s| s.bypass_allowed = true),
@@ -443,7 +451,7 @@
                 }
             }
         }),
-        ("apart", |s| s.limits.second_copies = true),
+        ("apart", |s| s.limits.hedging = true),
         ("window", |s| {
             for class in &mut s.classes {
                 if let Repeat::Dedup { window_ms, .. } = &mut class.repeat {
