--- a/src/back/connection.rs
+++ b/src/back/connection.rs
@@ -1,7 +1,7 @@
 //! State of one connection to a machine: the frames that are queued or outstanding on it, how far each has
 //! come, and the reading of the machine's answers.
 
-use super::wire::{parse_note, Fields};
+use super::wire::{parse_cache_status, Fields};
 use super::{
     EndpointEvent, ANSWER_STALL_MS, ANSWER_TIMEOUT_MS, CLOSED_IDS_KEPT, CLOSED_ID_LIFETIME_MS,
     CROWDED_ATTEMPTS, IDLE_TIMEOUT_SHARE, UNRESPONSIVE_MS, WRONG_NAME,
@@ -25,7 +25,7 @@
     pub(super) bytes: Vec<u8>,
     /// The attempt that this frame carries, if any: its time limit is encoded again when the frame is
     /// written.
-    pub(super) call: Option<OutgoingRequest>,
+    pub(super) outgoing: Option<OutgoingRequest>,
     /// The id under which an answer is expected; `None` for STOP.
     pub(super) opens_id: Option<String>,
     /// The attempt must not be repeated, so it should not share its connection: a fault of another answer
@@ -197,7 +197,7 @@
                     outcome,
                     body: body.cloned().unwrap_or_default(),
                     unchanged: status == b"KEEP",
-                    cache_status: fields.get("tell").and_then(parse_note),
+                    cache_status: fields.get("tell").and_then(parse_cache_status),
                     source_ttfb_ms: fields.number("took"),
                     report,
                 },
--- a/src/back/dials.rs
+++ b/src/back/dials.rs
@@ -147,7 +147,7 @@
                 .insert(tag.clone(), Outstanding { purpose: Purpose::Greeting, progress, exclusive: false });
             connection.output.push_front(Frame {
                 bytes,
-                call: None,
+                outgoing: None,
                 opens_id: Some(tag),
                 exclusive: false,
                 moves: 0,
--- a/src/back/mod.rs
+++ b/src/back/mod.rs
@@ -221,14 +221,14 @@
         now: Millis,
         attempt: AttemptKey,
         machine: &CacheId,
-        call: &OutgoingRequest,
+        outgoing: &OutgoingRequest,
     ) -> Result<(ConnectionKey, bool), SendError> {
-        let id = call.request.id.clone();
+        let id = outgoing.request.id.clone();
         let frame = Frame {
-            bytes: encode_request(call, call.fetch.timeout_ms),
-            call: Some(call.clone()),
+            bytes: encode_request(outgoing, outgoing.fetch.timeout_ms),
+            outgoing: Some(outgoing.clone()),
             opens_id: Some(id),
-            exclusive: call.exclusive_connection,
+            exclusive: outgoing.exclusive_connection,
             moves: 0,
         };
         self.queue(now, Purpose::Attempt(attempt), machine, frame, true)
@@ -239,7 +239,7 @@
         self.next_probe += 1;
         let tag = format!("probe{}", self.next_probe);
         let bytes = resp::frame(&[b"STAT", tag.as_bytes()]);
-        let frame = Frame { bytes, call: None, opens_id: Some(tag), exclusive: false, moves: 0 };
+        let frame = Frame { bytes, outgoing: None, opens_id: Some(tag), exclusive: false, moves: 0 };
         self.queue(now, Purpose::Probe, machine, frame, true)
     }
 
@@ -340,7 +340,7 @@
             let bytes = resp::frame(&[b"STOP", id.as_bytes()]);
             connection.output.push_back(Frame {
                 bytes,
-                call: None,
+                outgoing: None,
                 opens_id: None,
                 exclusive: false,
                 moves: 0,
@@ -385,9 +385,9 @@
         else {
             return;
         };
-        if let Some(call) = &frame.call {
-            if wire_limit_ms(call.fetch.timeout_ms) != wire_limit_ms(limit_ms) {
-                frame.bytes = encode_request(call, limit_ms);
+        if let Some(outgoing) = &frame.outgoing {
+            if wire_limit_ms(outgoing.fetch.timeout_ms) != wire_limit_ms(limit_ms) {
+                frame.bytes = encode_request(outgoing, limit_ms);
             }
         }
     }
--- a/src/back/wire.rs
+++ b/src/back/wire.rs
@@ -32,7 +32,7 @@
     }
 }
 
-pub(super) fn parse_note(name: &str) -> Option<CacheStatus> {
+pub(super) fn parse_cache_status(name: &str) -> Option<CacheStatus> {
     Some(match name {
         "cached" => CacheStatus::Hit,
         "fetched" => CacheStatus::Filled,
@@ -55,14 +55,14 @@
 }
 
 /// Encodes a request with the given time limit.
-pub(super) fn encode_request(call: &OutgoingRequest, limit_ms: Millis) -> Vec<u8> {
-    let (ask, fetch) = (&call.request, &call.fetch);
-    let mut fields = format!("cls={}", ask.class);
+pub(super) fn encode_request(outgoing: &OutgoingRequest, limit_ms: Millis) -> Vec<u8> {
+    let (request, fetch) = (&outgoing.request, &outgoing.fetch);
+    let mut fields = format!("cls={}", request.class);
     let mut field = |name: &str, value: String| fields.extend([",", name, "=", &value]);
-    if let Some(object) = &ask.object {
+    if let Some(object) = &request.object {
         field("item", object.clone());
     }
-    if let Some(piece) = ask.piece {
+    if let Some(piece) = request.piece {
         field("chunk", piece.to_string());
     }
     if let Some(limit) = wire_limit_ms(limit_ms) {
@@ -86,13 +86,13 @@
     if !flags.is_empty() {
         field("handle", flags.join("+"));
     }
-    if let Some(tag) = &ask.client_tag {
+    if let Some(tag) = &request.client_tag {
         field("holds", tag.clone());
     }
     // Specified by the platform's list of names only, not by the protocol specification. Machines refuse a
     // keyed request without it, as one that no client sent.
-    if let Some(key) = &ask.idempotency_key {
+    if let Some(key) = &request.idempotency_key {
         field("nonce", key.to_string());
     }
-    resp::frame(&[b"REQ", ask.id.as_bytes(), fields.as_bytes(), &ask.body])
+    resp::frame(&[b"REQ", request.id.as_bytes(), fields.as_bytes(), &request.body])
 }
--- a/src/front.rs
+++ b/src/front.rs
@@ -437,7 +437,7 @@
             (stalled, ClientClose::WriteTimeout),
             (silent, ClientClose::RequestTimeout),
         ];
-        if let Some((_, reason)) = reasons.into_iter().find(|(holds, _)| *holds) {
+        if let Some((_, reason)) = reasons.into_iter().find(|(client_tag, _)| *client_tag) {
             return TimeoutStatus::Connection(reason);
         }
         let mut expired = Vec::new();
@@ -591,8 +591,8 @@
     let size = text("HTTP_X_MEMORY_KB")?
         .map(|text| number_within(text, MAX_SIZE_KB, "X-Memory-Kb is bad"))
         .transpose()?;
-    let holds = text("HTTP_X_KNOWN")?.map(|tag| tag.trim_start_matches("W/").trim_matches('"'));
-    if holds.is_some_and(|tag| tag.is_empty() || !is_field_value(tag)) {
+    let client_tag = text("HTTP_X_KNOWN")?.map(|tag| tag.trim_start_matches("W/").trim_matches('"'));
+    if client_tag.is_some_and(|tag| tag.is_empty() || !is_field_value(tag)) {
         return Err("X-Known is bad");
     }
     let idempotency_key = text("HTTP_IDEMPOTENCY_KEY")?;
@@ -612,7 +612,7 @@
         piece,
         group: group.unwrap_or(0),
         size_kb: size.filter(|kb| *kb > 0.0),
-        client_tag: holds.map(str::to_owned),
+        client_tag: client_tag.map(str::to_owned),
         idempotency_key: idempotency_key.map(Into::into),
         body,
     })
--- a/tests/addresses.rs
+++ b/tests/addresses.rs
@@ -265,8 +265,8 @@
     assert_eq!((won.endpoint, won.losers), (v4(1), vec![(2, v6(1), true)]), "the earlier dial was overtaken");
 }
 
-fn call(id: &str, alone: bool) -> OutgoingRequest {
-    let ask = IncomingRequest { id: id.into(), class: "swap".into(), ..IncomingRequest::default() };
+fn outgoing_request(id: &str, alone: bool) -> OutgoingRequest {
+    let request = IncomingRequest { id: id.into(), class: "swap".into(), ..IncomingRequest::default() };
     let fetch = frostturn::api::Fetch {
         id: id.into(),
         cache: "a".into(),
@@ -280,7 +280,7 @@
         send_within_ms: None,
     };
     OutgoingRequest {
-        request: ask.into(),
+        request: request.into(),
         fetch,
         exclusive_connection: alone,
         send_by: f64::INFINITY,
@@ -308,7 +308,7 @@
 #[test]
 fn a_written_attempt_never_moves_and_a_new_one_takes_another_endpoint() {
     let (mut pool, a) = connection_pool();
-    let (first, _) = pool.send(0.0, 1, &a, &call("one", true)).expect("room");
+    let (first, _) = pool.send(0.0, 1, &a, &outgoing_request("one", true)).expect("room");
     let dials = started(&mut pool, 0.0);
     assert_eq!(dials.len(), 1);
     pool.dial_connected(1.0, first, dials[0].1).expect("the connection waits for the dial");
@@ -317,7 +317,7 @@
     // The Unix socket becomes unresponsive: a written attempt stays on it, a new one takes another endpoint.
     let (left, moved) = pool.check_unresponsive(600.0);
     assert_eq!((left.len(), left[0].endpoint.clone(), moved.len()), (1, unix("/a"), 0));
-    let (second, new) = pool.send(601.0, 2, &a, &call("two", true)).expect("room");
+    let (second, new) = pool.send(601.0, 2, &a, &outgoing_request("two", true)).expect("room");
     assert!(new && second != first);
     assert_eq!(started(&mut pool, 601.0)[0].2, v6(1));
     let ended = pool.connection_closed(700.0, first, Some(EndpointFailure::Broken));
@@ -331,7 +331,7 @@
 #[test]
 fn a_drain_closes_the_dials_of_all_endpoints() {
     let (mut pool, a) = connection_pool();
-    let (key, _) = pool.send(0.0, 1, &a, &call("one", false)).expect("room");
+    let (key, _) = pool.send(0.0, 1, &a, &outgoing_request("one", false)).expect("room");
     assert_eq!(started(&mut pool, 0.0).len(), 1);
     assert_eq!(started(&mut pool, 90.0).len(), 1, "two dials are open");
     pool.update_listing(&a, Listing { phase: Phase::Draining, ..serving(1) });
@@ -340,13 +340,16 @@
     let closed = pool.poll_dials(91.0).into_iter().filter(|one| matches!(one, DialAction::Close(_))).count();
     assert_eq!((closed, pool.dials(key).len()), (2, 0));
     assert_eq!(pool.expired(91.0), [(key, EndpointClose::NotNeeded)]);
-    assert!(pool.send(92.0, 2, &a, &call("two", false)).is_err(), "the machine has no usable endpoint");
+    assert!(
+        pool.send(92.0, 2, &a, &outgoing_request("two", false)).is_err(),
+        "the machine has no usable endpoint"
+    );
 }
 
 #[test]
 fn a_recovering_endpoint_carries_one_request_until_it_is_answered() {
     let (mut pool, a) = connection_pool();
-    let (key, _) = pool.send(0.0, 1, &a, &call("one", false)).expect("room");
+    let (key, _) = pool.send(0.0, 1, &a, &outgoing_request("one", false)).expect("room");
     let (_, dial, _) = started(&mut pool, 0.0).remove(0);
     let left = pool
         .dial_failed(0.0, key, dial, DialError::Failed(EndpointFailure::Refused))
@@ -363,7 +366,7 @@
     assert!(greeting.starts_with(b"*2\r\n$4\r\nHELO\r\n"));
     pool.wrote(at, trial, greeting.len());
     assert_ne!(
-        pool.send(at, 2, &a, &call("two", false)).map(|(key, _)| key),
+        pool.send(at, 2, &a, &outgoing_request("two", false)).map(|(key, _)| key),
         Ok(trial),
         "the greeting is unanswered"
     );
@@ -371,13 +374,13 @@
     let fit = frostturn::resp::frame(&[tag.as_bytes(), b"FIT", b"-"]);
     assert_eq!(pool.receive(at, trial, &fit), (vec![], None));
     assert_ne!(
-        pool.send(at, 3, &a, &call("swap", true)).map(|(key, _)| key),
+        pool.send(at, 3, &a, &outgoing_request("swap", true)).map(|(key, _)| key),
         Ok(trial),
         "no unrepeatable attempt"
     );
-    assert_eq!(pool.send(at, 4, &a, &call("four", false)), Ok((trial, false)));
+    assert_eq!(pool.send(at, 4, &a, &outgoing_request("four", false)), Ok((trial, false)));
     assert_ne!(
-        pool.send(at, 5, &a, &call("five", false)).map(|(key, _)| key),
+        pool.send(at, 5, &a, &outgoing_request("five", false)).map(|(key, _)| key),
         Ok(trial),
         "one request at a time"
     );
@@ -394,7 +397,7 @@
     let mut pool = ConnectionPool::with_address_settings(400.0, 30_000.0, 32, 40, Some(named), 3);
     let a = CacheId::from("a");
     pool.update_listing(&a, serving(1));
-    let (key, _) = pool.send(0.0, 1, &a, &call("one", true)).expect("room");
+    let (key, _) = pool.send(0.0, 1, &a, &outgoing_request("one", true)).expect("room");
     let (_, dial, _) = started(&mut pool, 0.0).remove(0);
     pool.dial_connected(0.0, key, dial).expect("the connection waits for the dial");
     let greeting = pool.output(key).expect("a greeting").to_vec();
@@ -471,8 +474,12 @@
             match one {
                 Some(PoolChange::Send { to_b, alone }) => {
                     next += 1;
-                    let sent =
-                        pool.send(now, next, &names[usize::from(to_b)], &call(&format!("i{next}"), alone));
+                    let sent = pool.send(
+                        now,
+                        next,
+                        &names[usize::from(to_b)],
+                        &outgoing_request(&format!("i{next}"), alone),
+                    );
                     if let Ok((key, _)) = sent {
                         assert!(pool.output(key).is_none() || up.contains(&key));
                     }
--- a/tests/connections.rs
+++ b/tests/connections.rs
@@ -146,13 +146,13 @@
                     let [ClientEvent::Request(serial, asked, _)] = &received[..] else {
                         panic!("{received:?}")
                     };
-                    let Ok(ask) = asked else {
+                    let Ok(parsed) = asked else {
                         assert!(body > 64 * 1024, "{asked:?}");
                         open.insert(request, Some(*serial));
                         continue;
                     };
-                    assert_eq!((ask.body.len(), ask.timeout_ms), (body, 1500.0));
-                    assert_eq!((ask.class.as_str(), ask.client_tag.as_deref()), ("page", Some("4be0")));
+                    assert_eq!((parsed.body.len(), parsed.timeout_ms), (body, 1500.0));
+                    assert_eq!((parsed.class.as_str(), parsed.client_tag.as_deref()), ("page", Some("4be0")));
                     open.insert(request, Some(*serial));
                 }
                 ClientStep::Abort { request } => {
@@ -458,7 +458,7 @@
         Conn::new(0.0).receive(0.0, &[begin(1, 1), vec![1, 4, 0, 1, 0, 9, 0, 0], bytes.to_vec()].concat()),
     );
     let (mut pool, machine) = (connection_pool(), CacheId::from("m"));
-    let (key, _) = pool.send(0.0, 1, &machine, &call("a")).expect("room");
+    let (key, _) = pool.send(0.0, 1, &machine, &outgoing_request("a")).expect("room");
     complete_dial(&mut pool, 0.0, key);
     let _ = pool.receive(0.0, key, bytes);
     let _ = pool.receive(0.0, key, &[b"*2\r\n$1\r\na\r\n".to_vec(), bytes.to_vec()].concat());
@@ -489,8 +489,8 @@
     }
 }
 
-fn call(id: &str) -> OutgoingRequest {
-    let ask = IncomingRequest {
+fn outgoing_request(id: &str) -> OutgoingRequest {
+    let request = IncomingRequest {
         id: id.into(),
         class: "page".into(),
         object: Some("7f3a".into()),
@@ -509,7 +509,7 @@
         send_within_ms: None,
     };
     OutgoingRequest {
-        request: ask.into(),
+        request: request.into(),
         fetch,
         exclusive_connection: false,
         send_by: f64::INFINITY,
@@ -525,7 +525,7 @@
 #[test]
 fn requests_and_answers_are_encoded_as_specified() {
     let (mut pool, machine) = (connection_pool(), CacheId::from("m"));
-    let (key, new) = pool.send(0.0, 5, &machine, &call("a")).expect("room");
+    let (key, new) = pool.send(0.0, 5, &machine, &outgoing_request("a")).expect("room");
     assert!(new && pool.output(key).is_none(), "nothing is written before the connection is up");
     complete_dial(&mut pool, 0.0, key);
     let fields = "cls=page,item=7f3a,limit=901,fetch=p,retain=2,newer=15,handle=coalesce+freshen";
@@ -547,7 +547,7 @@
     assert_eq!(pool.receive(9.0, key, &reply("a", "DONE")).0, [EndpointEvent::Late], "a repeated answer");
     assert_eq!(pool.receive(9.0, key, &reply("never", "DONE")).0, [EndpointEvent::Unknown], "an unknown id");
     // The id is not sent on this connection again: a late answer under it would be taken for the new one.
-    assert_ne!(pool.send(9.0, 6, &machine, &call("a")).map(|(key, _)| key), Ok(key));
+    assert_ne!(pool.send(9.0, 6, &machine, &outgoing_request("a")).map(|(key, _)| key), Ok(key));
     assert!(pool.receive(9.0, key, b"*1\r\n$x\r\n").1.is_some());
 }
 
@@ -595,7 +595,7 @@
                 Step::Send { id } => {
                     next += 1;
                     let id = format!("id-{id}");
-                    let Ok((key, new)) = pool.send(now, next, &machine, &call(&id)) else {
+                    let Ok((key, new)) = pool.send(now, next, &machine, &outgoing_request(&id)) else {
                         continue;
                     };
                     assert_eq!(new, !wrote.contains_key(&key));
@@ -685,7 +685,7 @@
 
 #[test]
 fn idempotency_keys_are_passed_from_the_client_to_the_machine() {
-    let ask_with = |key: &str| {
+    let request_with = |key: &str| {
         let (mut out, mut params) = (begin(1, 1), Vec::new());
         for (name, value) in [
             ("SCRIPT_NAME", "/ops/page"),
@@ -703,12 +703,12 @@
         asked
     };
     for bad in ["a,limit=1", "a b", &"x".repeat(129)] {
-        assert!(ask_with(bad).is_err(), "the key could be parsed as another field: {bad}");
+        assert!(request_with(bad).is_err(), "the key could be parsed as another field: {bad}");
     }
-    let ask = ask_with("c7ab15fa3c57c2968256bea080fceb6d").expect("good");
+    let request = request_with("c7ab15fa3c57c2968256bea080fceb6d").expect("good");
     let (mut pool, machine) = (connection_pool(), CacheId::from("m"));
-    let call = OutgoingRequest { request: ask.into(), ..call("a") };
-    let (key, _) = pool.send(0.0, 5, &machine, &call).expect("room");
+    let outgoing = OutgoingRequest { request: request.into(), ..outgoing_request("a") };
+    let (key, _) = pool.send(0.0, 5, &machine, &outgoing).expect("room");
     complete_dial(&mut pool, 0.0, key);
     let text = String::from_utf8_lossy(pool.output(key).expect("the connection is up")).into_owned();
     assert!(text.contains(",nonce=c7ab15fa3c57c2968256bea080fceb6d\r\n"), "{text}");
@@ -717,7 +717,7 @@
 #[test]
 fn a_closed_id_is_not_reused_on_its_connection_after_many_later_requests() {
     let (mut pool, machine) = (connection_pool(), CacheId::from("m"));
-    let (key, _) = pool.send(0.0, 1, &machine, &call("a")).expect("room");
+    let (key, _) = pool.send(0.0, 1, &machine, &outgoing_request("a")).expect("room");
     complete_dial(&mut pool, 0.0, key);
     let write = |pool: &mut ConnectionPool, now| {
         while let Some(bytes) = pool.output(key).map(<[u8]>::len) {
@@ -729,12 +729,12 @@
     // 200 requests later, while the answer may still arrive, the request is tried again.
     for at in 0..200 {
         let id = format!("other{at}");
-        let (other, _) = pool.send(20.0, 10 + at, &machine, &call(&id)).expect("room");
+        let (other, _) = pool.send(20.0, 10 + at, &machine, &outgoing_request(&id)).expect("room");
         assert_eq!(other, key, "one request at a time uses the same connection");
         write(&mut pool, 20.0);
         assert_eq!(pool.receive(20.0, key, &reply(&id, "DONE")).0.len(), 1);
     }
-    let (again, new) = pool.send(500.0, 2, &machine, &call("a")).expect("room");
+    let (again, new) = pool.send(500.0, 2, &machine, &outgoing_request("a")).expect("room");
     assert!(again != key && new, "a late answer would be taken for the new one");
     assert_eq!(pool.receive(500.0, key, &reply("a", "DONE")).0, [EndpointEvent::Late]);
 }
@@ -742,20 +742,20 @@
 #[test]
 fn an_unresponsive_connection_gets_no_requests_until_it_receives_again() {
     let (mut pool, machine) = (connection_pool(), CacheId::from("m"));
-    let (first, _) = pool.send(0.0, 1, &machine, &call("a")).expect("room");
+    let (first, _) = pool.send(0.0, 1, &machine, &outgoing_request("a")).expect("room");
     complete_dial(&mut pool, 0.0, first);
     let bytes = pool.output(first).map_or(0, <[u8]>::len);
     pool.wrote(0.0, first, bytes);
-    assert_eq!(pool.send(300.0, 2, &machine, &call("b")), Ok((first, false)));
-    let (second, new) = pool.send(900.0, 3, &machine, &call("c")).expect("room");
+    assert_eq!(pool.send(300.0, 2, &machine, &outgoing_request("b")), Ok((first, false)));
+    let (second, new) = pool.send(900.0, 3, &machine, &outgoing_request("c")).expect("room");
     assert!(new && second != first, "the machine may have vanished");
     pool.receive(950.0, first, &reply("a", "LACK"));
-    assert_eq!(pool.send(960.0, 4, &machine, &call("d")), Ok((first, false)));
+    assert_eq!(pool.send(960.0, 4, &machine, &outgoing_request("d")), Ok((first, false)));
     // A closed id is not reused on its connection either: its old answer may still arrive.
     let bytes = pool.output(first).map_or(0, <[u8]>::len);
     pool.wrote(960.0, first, bytes);
     pool.stop(970.0, 2);
-    assert_ne!(pool.send(980.0, 5, &machine, &call("b")).map(|(key, _)| key), Ok(first));
+    assert_ne!(pool.send(980.0, 5, &machine, &outgoing_request("b")).map(|(key, _)| key), Ok(first));
     assert_eq!(pool.receive(990.0, first, &reply("b", "DONE")).0, [EndpointEvent::Late]);
 }
 
@@ -763,10 +763,10 @@
 fn every_connection_that_takes_over_from_a_closed_one_is_returned() {
     // Fault: a connection left out of the result is never dialed, and the attempts on it are lost.
     let (mut pool, machine) = (connection_pool(), CacheId::from("m"));
-    let (first, _) = pool.send(0.0, 1, &machine, &call("id-1")).expect("room");
+    let (first, _) = pool.send(0.0, 1, &machine, &outgoing_request("id-1")).expect("room");
     complete_dial(&mut pool, 0.0, first);
     for attempt in 2..=20 {
-        pool.send(0.0, attempt, &machine, &call(&format!("id-{attempt}"))).expect("room");
+        pool.send(0.0, attempt, &machine, &outgoing_request(&format!("id-{attempt}"))).expect("room");
     }
     assert_eq!(pool.count(), 8, "a bounded number; further ones are dialed only if the others are crowded");
     let carried: Vec<u64> = (1..=20).filter(|attempt| pool.connection_of(*attempt) == Some(first)).collect();
@@ -783,7 +783,7 @@
 #[test]
 fn stalled_and_malformed_answers_end_their_connection() {
     let written = |pool: &mut ConnectionPool, attempt: u64, id: &str| {
-        let (key, _) = pool.send(0.0, attempt, &CacheId::from("m"), &call(id)).expect("room");
+        let (key, _) = pool.send(0.0, attempt, &CacheId::from("m"), &outgoing_request(id)).expect("room");
         complete_dial(pool, 0.0, key);
         let bytes = pool.output(key).map_or(0, <[u8]>::len);
         pool.wrote(0.0, key, bytes);
@@ -833,9 +833,9 @@
 #[test]
 fn unrepeatable_attempts_share_no_connection_and_moves_are_bounded() {
     let (mut pool, machine) = (connection_pool(), CacheId::from("m"));
-    let alone = |id: &str| OutgoingRequest { exclusive_connection: true, ..call(id) };
-    let keys = [alone("a"), call("b"), call("c"), alone("d")];
-    let keys = keys.iter().zip(1..).map(|(call, at)| pool.send(0.0, at, &machine, call));
+    let alone = |id: &str| OutgoingRequest { exclusive_connection: true, ..outgoing_request(id) };
+    let keys = [alone("a"), outgoing_request("b"), outgoing_request("c"), alone("d")];
+    let keys = keys.iter().zip(1..).map(|(outgoing, at)| pool.send(0.0, at, &machine, outgoing));
     let keys: Vec<u64> = keys.map(|sent| sent.expect("room").0).collect();
     assert!(keys[1] == keys[2] && keys[0] != keys[1] && keys[3] != keys[1] && keys[0] != keys[3], "{keys:?}");
     // A machine that accepts connections and closes them must not keep the router dialing.
@@ -858,29 +858,29 @@
     // machines.
     for attempt in 0..40 {
         let machine = &machines[attempt as usize % 2];
-        pool.send(0.0, attempt, machine, &call(&format!("id-{attempt}"))).expect("room");
+        pool.send(0.0, attempt, machine, &outgoing_request(&format!("id-{attempt}"))).expect("room");
     }
     assert_eq!(pool.count(), 12);
     for (attempt, machine) in (102..).zip(&machines[2..6]) {
-        let (key, new) = pool.send(0.0, attempt, machine, &call("a")).expect("room");
+        let (key, new) = pool.send(0.0, attempt, machine, &outgoing_request("a")).expect("room");
         complete_dial(&mut pool, 0.0, key);
         assert!(new);
     }
     assert_eq!(
-        pool.send(0.0, 200, &machines[6], &call("a")),
+        pool.send(0.0, 200, &machines[6], &outgoing_request("a")),
         Err(SendError::NoRoom),
         "all connections are in use"
     );
     // An idle connection makes room: it is closed next, before its idle timeout.
     let idle = pool.stop(5.0, 102).expect("the attempt is outstanding");
-    assert!(pool.send(6.0, 201, &machines[6], &call("a")).is_ok_and(|(_, new)| new));
+    assert!(pool.send(6.0, 201, &machines[6], &outgoing_request("a")).is_ok_and(|(_, new)| new));
     assert_eq!(pool.expired(6.0), [(idle, EndpointClose::Idle)]);
 }
 
 #[test]
 fn connections_end_when_idle_retired_or_not_connected_in_time() {
     let (mut pool, machine) = (connection_pool(), CacheId::from("m"));
-    let (key, _) = pool.send(0.0, 1, &machine, &call("a")).expect("room");
+    let (key, _) = pool.send(0.0, 1, &machine, &outgoing_request("a")).expect("room");
     assert_eq!(
         (pool.expired(399.0), pool.expired(400.0)),
         (vec![], vec![(key, EndpointClose::ConnectTimeout)])
@@ -896,9 +896,9 @@
     // Addresses are reused: a machine with another name or another address never shares a connection.
     let other = CacheId::from("n");
     list_machine(&mut pool, &other, 1);
-    assert!(pool.send(60.0, 2, &other, &call("a")).is_ok_and(|(_, new)| new));
+    assert!(pool.send(60.0, 2, &other, &outgoing_request("a")).is_ok_and(|(_, new)| new));
     list_machine(&mut pool, &machine, 2);
-    assert!(pool.send(60.0, 3, &machine, &call("b")).is_ok_and(|(_, new)| new));
+    assert!(pool.send(60.0, 3, &machine, &outgoing_request("b")).is_ok_and(|(_, new)| new));
     pool.retire(&machine);
     assert!(pool.expired(70.0).contains(&(key, EndpointClose::Idle)));
     assert_eq!(pool.dialed_before(&other, 61.0).len(), 1);
