--- a/src/plugins/mod.rs
+++ b/src/plugins/mod.rs
@@ -1,24 +1,24 @@
 //! Plug-ins: WebAssembly modules of the operators' own that give advice on routing.
 //!
-//! Owns the instances with their budgets and breakers, what they are shown ([`watch`]), and the narrowing of what
-//! they say ([`guard`]). It never sends, refuses or holds back anything by itself: advice is an input of the
+//! Owns the instances with their budgets and breakers, what they are shown ([`machine_stats`]), and the narrowing of what
+//! they say ([`advice_filter`]). It never sends, refuses or holds back anything by itself: advice is an input of the
 //! decision module's request, and the module decides. No files and no clock: programs come in as bytes, time as
 //! an argument, and metering counts instructions, so that equal inputs give equal advice.
 
+pub mod advice_filter;
 pub mod breaker;
 pub mod engine;
-pub mod guard;
-mod watch;
+mod machine_stats;
 
-pub use watch::Watch;
+pub use machine_stats::Watch;
 
 use crate::api::{
     Advice, AttemptResult, CacheId, CacheStatus, ClassSettings, Millis, Outcome, Repeat, Settings,
 };
+use advice_filter::{Allowed, Narrowed};
 use breaker::{Breaker, State};
 use engine::{Fault, Hook, Instance};
 use frostturn_plugin_kit as kit;
-use guard::{Allowed, Narrowed};
 use std::collections::{BTreeMap, VecDeque};
 use std::path::PathBuf;
 use std::rc::Rc;
@@ -265,7 +265,7 @@
                 limits: &self.limits,
                 may_refuse: may_refuse && !about.repeat,
             };
-            match guard::narrow(&bytes, &allowed) {
+            match advice_filter::narrow(&bytes, &allowed) {
                 Ok(narrowed) => {
                     slot.breaker.good();
                     slot.counts.advised += 1;
--- a/tests/plugins.rs
+++ b/tests/plugins.rs
@@ -6,8 +6,8 @@
 use frostturn::api::{CacheId, ClassSettings, Limits, Phase, Repeat, Retention, Settings};
 use frostturn::clock::UnixTime;
 use frostturn::discovery::{Announcement, DiscoveryEvent, ListedMachine};
+use frostturn::plugins::advice_filter::{self, Allowed};
 use frostturn::plugins::engine::{Fault, Hook, Instance};
-use frostturn::plugins::guard::{self, Allowed};
 use frostturn::plugins::{Loaded, Spec};
 use frostturn::reducer::{
     Answer, AttemptEnd, Effect, IncomingRequest, Input, Progress, Reducer, Reply, RequestKey,
@@ -203,7 +203,7 @@
         };
         let (names, warm, may_refuse) = (&names[..], &machines[..], kind & 16 != 0);
         let allowed = Allowed { names, warm, class: &class, limits: &limits, may_refuse };
-        let both = [&one, &other].map(|said| guard::narrow(&said.0, &allowed).unwrap_or_default());
+        let both = [&one, &other].map(|said| advice_filter::narrow(&said.0, &allowed).unwrap_or_default());
         let [one, other] = both;
         let narrowed = one.merge(other);
         let advice = &narrowed.advice;
