--- a/crates/frostturn-lab/src/daemon.rs
+++ b/crates/frostturn-lab/src/daemon.rs
@@ -130,7 +130,7 @@
                 (self.address, self.ops) = (address, after("operators call at "));
                 let ready = match self.ops {
                     Some(ops) if called => {
-                        call(ops, &Call::Ready).is_ok_and(|answer| matches!(answer, Answer::Yes(_)))
+                        call(ops, &Call::Ready).is_ok_and(|answer| matches!(answer, Answer::Accepted(_)))
                     }
                     _ => alive(address),
                 };
--- a/crates/frostturn-lab/src/rig.rs
+++ b/crates/frostturn-lab/src/rig.rs
@@ -181,7 +181,7 @@
     pub fn view(&self, at: usize) -> Option<View> {
         let ops = self.slots[at].process.as_ref()?.ops?;
         match call(ops, &Call::Fleet) {
-            Ok(Answer::Yes(text)) => serde_json::from_str(&text).ok(),
+            Ok(Answer::Accepted(text)) => serde_json::from_str(&text).ok(),
             _ => None,
         }
     }
--- a/crates/frostturn-lab/src/scenarios/plugins.rs
+++ b/crates/frostturn-lab/src/scenarios/plugins.rs
@@ -8,7 +8,7 @@
 use crate::report::{Bound, Report};
 use crate::site::{Site, Status};
 use frostturn::api::{ClassSettings, Settings};
-use frostturn::plugins::{About, Loaded, Plugins, Spec, Watch, MAX_PLUGINS};
+use frostturn::plugins::{Loaded, MachineStats, Plugins, RequestInfo, Spec, MAX_PLUGINS};
 use rand::rngs::StdRng;
 use rand::seq::SliceRandom;
 use rand::{RngExt, SeedableRng};
@@ -121,9 +121,16 @@
     }
     let mut plugins = Plugins::new(&settings);
     plugins.replace(0.0, &order, loaded);
-    let watch = Watch::new(&settings);
-    let about =
-        About { class: 0, object: None, piece: 0, group: 0, size_kb: None, left_ms: 900.0, repeat: false };
+    let watch = MachineStats::new(&settings);
+    let about = RequestInfo {
+        class: 0,
+        object: None,
+        piece: 0,
+        group: 0,
+        size_kb: None,
+        time_left_ms: 900.0,
+        repeat: false,
+    };
     let mut most: f64 = 0.0;
     for turn in 0..60 {
         let start = Instant::now();
--- a/crates/frostturn-lab/src/scenarios/service.rs
+++ b/crates/frostturn-lab/src/scenarios/service.rs
@@ -60,8 +60,8 @@
         let answer = call(ops, what);
         self.answer_ms = self.answer_ms.max(from.elapsed().as_secs_f64() * 1e3);
         match answer {
-            Ok(Answer::Yes(_)) => true,
-            Ok(Answer::No(_)) => false,
+            Ok(Answer::Accepted(_)) => true,
+            Ok(Answer::Rejected(_)) => false,
             Ok(Answer::Failed(500, _)) if self.disk_fails => {
                 self.unsaved += 1;
                 false
--- a/crates/frostturn-lab/src/scenarios/soak/mod.rs
+++ b/crates/frostturn-lab/src/scenarios/soak/mod.rs
@@ -305,7 +305,7 @@
 
     fn call(&mut self, router: usize, what: &Call) -> bool {
         let ops = self.slots[router].current.as_ref().and_then(|daemon| daemon.ops);
-        ops.is_some_and(|ops| matches!(call(ops, what), Ok(Answer::Yes(_))))
+        ops.is_some_and(|ops| matches!(call(ops, what), Ok(Answer::Accepted(_))))
     }
 
     fn finish(mut self) -> Report {
--- a/src/cli.rs
+++ b/src/cli.rs
@@ -7,7 +7,7 @@
 use crate::fleet::Fleet;
 use crate::log::{Format, Level};
 use crate::log_line;
-use crate::operator::{self, Operator};
+use crate::operator::{self, OperatorConfig};
 use clap::{CommandFactory, Parser, Subcommand, ValueEnum};
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -176,7 +176,7 @@
 
 /// The Unix socket that an operator's file names.
 fn socket_of(operator: Option<&std::path::Path>) -> Option<String> {
-    let operator = Operator::load(operator.filter(|path| !path.as_os_str().is_empty())?);
+    let operator = OperatorConfig::load(operator.filter(|path| !path.as_os_str().is_empty())?);
     let operator = operator.map_err(|why| eprintln!("{why}")).ok()?;
     operator.ops_socket.map(|path| path.display().to_string())
 }
@@ -191,7 +191,7 @@
             Ok(bytes) if bytes.trim_ascii_start().starts_with(b"{") => {
                 Config::read(bytes, None, None).err().into_iter().collect()
             }
-            Ok(bytes) => match Operator::read(&bytes) {
+            Ok(bytes) => match OperatorConfig::read(&bytes) {
                 // Whether it is among its own peers shows where the command line names this router.
                 Ok(operator) => match (name, operator.fleet) {
                     (Some(name), Some(fleet)) => {
--- a/src/cli_ctl.rs
+++ b/src/cli_ctl.rs
@@ -3,7 +3,7 @@
 //! Exit codes: 0, yes; 1, no; 2, the command line can't be understood; 3, nobody answers; 4, it could not be done.
 
 use crate::fleet::View;
-use crate::ops::control::{self, Answer, Place, MAX_ANSWER};
+use crate::ops::control::{self, Answer, OpsAddress, MAX_ANSWER_BYTES};
 use crate::ops::Call;
 use clap::Subcommand;
 use std::io::{self, Read, Write};
@@ -64,7 +64,7 @@
         eprintln!("where? --ops ADDRESS or PATH, PROXY_OPS, or (ops (unix …)) in the operator's file");
         return ExitCode::from(2);
     };
-    let place: Place = match place.parse() {
+    let place: OpsAddress = match place.parse() {
         Ok(place) => place,
         Err(why) => {
             eprintln!("{why}");
@@ -73,14 +73,14 @@
     };
     let answer = ask(&place, &control::write(&ctl.call())).map_err(|e| e.to_string());
     match answer.and_then(|bytes| control::read(&bytes).map_err(str::to_owned)) {
-        Ok(Answer::Yes(text)) => {
+        Ok(Answer::Accepted(text)) => {
             match ctl {
                 Ctl::Fleet { json: false } => println!("{}", fleet_table(&text).unwrap_or(text)),
                 _ => println!("{text}"),
             }
             ExitCode::SUCCESS
         }
-        Ok(Answer::No(text)) => {
+        Ok(Answer::Rejected(text)) => {
             println!("{text}");
             ExitCode::from(1)
         }
@@ -116,16 +116,16 @@
     Some(out)
 }
 
-fn ask(place: &Place, call: &[u8]) -> io::Result<Vec<u8>> {
+fn ask(place: &OpsAddress, call: &[u8]) -> io::Result<Vec<u8>> {
     match place {
-        Place::Tcp(address) => {
+        OpsAddress::Tcp(address) => {
             let mut stream = TcpStream::connect_timeout(address, PATIENCE)?;
             stream.set_read_timeout(Some(PATIENCE))?;
             stream.write_all(call)?;
             stream.shutdown(Shutdown::Write)?;
             whole(stream)
         }
-        Place::Unix(path) => {
+        OpsAddress::Unix(path) => {
             let mut stream = UnixStream::connect(path)?;
             stream.set_read_timeout(Some(PATIENCE))?;
             stream.write_all(call)?;
@@ -137,6 +137,6 @@
 
 fn whole(stream: impl Read) -> io::Result<Vec<u8>> {
     let mut bytes = Vec::new();
-    stream.take(MAX_ANSWER as u64).read_to_end(&mut bytes)?;
+    stream.take(MAX_ANSWER_BYTES as u64).read_to_end(&mut bytes)?;
     Ok(bytes)
 }
--- a/src/config.rs
+++ b/src/config.rs
@@ -8,7 +8,7 @@
 use crate::api::*;
 use crate::discovery::{self, DiscoveryEvent};
 use crate::errno;
-use crate::operator::{self, Operator};
+use crate::operator::{self, OperatorConfig};
 use simd_json::prelude::*;
 use simd_json::OwnedValue;
 use std::collections::HashMap;
@@ -103,7 +103,7 @@
 
 impl Sources {
     /// Loads both files, or neither.
-    pub fn load(&self) -> Result<(Config, Operator), LoadError> {
+    pub fn load(&self) -> Result<(Config, OperatorConfig), LoadError> {
         let path = self.config.as_ref().ok_or_else(|| "PROXY_CONFIG isn't set".to_owned())?;
         let shown = path.display();
         let bytes = std::fs::read(path).map_err(|e| LoadError::unreadable(path, &e))?;
@@ -112,9 +112,9 @@
         if let Some(ops) = &self.ops {
             config.ops = Some(ops.parse().map_err(|_| format!("ops is not an address: {ops}"))?);
         }
-        let Some(path) = self.operator.as_deref() else { return Ok((config, Operator::default())) };
+        let Some(path) = self.operator.as_deref() else { return Ok((config, OperatorConfig::default())) };
         let bytes = operator::read_bytes(path).map_err(|e| LoadError::unreadable(path, &e))?;
-        Ok((config, Operator::read_named(&bytes, path)?))
+        Ok((config, OperatorConfig::read_named(&bytes, path)?))
     }
 }
 
--- a/src/handover/mod.rs
+++ b/src/handover/mod.rs
@@ -19,13 +19,13 @@
 /// The magic, the length and the checksum.
 const HEAD: usize = 20;
 /// Bytes of a file, at most.
-pub const MAX_FILE: usize = 512 * 1024;
+pub const MAX_FILE_BYTES: usize = 512 * 1024;
 /// One that is older belongs to a process that is long gone, if none runs that has kept it.
-pub const OLD_MS: Millis = 15_000.0;
+pub const STALE_AFTER_MS: Millis = 15_000.0;
 /// How often a running process saves it anew.
-pub const EVERY_MS: Millis = 5000.0;
+pub const SAVE_INTERVAL_MS: Millis = 5000.0;
 /// A process of which nothing else is known and that has said nothing for this long is gone.
-pub const SILENT_MS: Millis = 12_000.0;
+pub const PROCESS_TIMEOUT_MS: Millis = 12_000.0;
 /// Processes that the file names; beyond that the longest silent one goes.
 const MOST_PROCESSES: usize = 8;
 /// How long it is remembered that a machine was taken back: far longer than any process goes without a look at the file.
@@ -35,14 +35,14 @@
 
 /// Both clocks that the file's times are of, read at one moment.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Now {
+pub struct ClockReading {
     /// The one that counts.
     pub boot: BootTime,
     /// The one by which processes of earlier versions judge the file's age.
     pub unix: UnixTime,
 }
 
-impl Now {
+impl ClockReading {
     /// Now.
     pub fn read() -> Self {
         Self { boot: BootTime::now(), unix: UnixTime::now() }
@@ -108,27 +108,27 @@
 
 /// Why a file is not taken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Refused {
+pub enum StateError {
     /// It is larger than one can be.
     TooLarge,
     /// It is no such file, or of another version.
-    Foreign,
+    UnknownFormat,
     /// It is cut short or was changed.
-    Torn,
+    Corrupt,
     /// It is of a process that is long gone, or of another boot.
-    Old,
+    Stale,
     /// It is another router's.
-    Other,
+    OtherRouter,
 }
 
-impl fmt::Display for Refused {
+impl fmt::Display for StateError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             Self::TooLarge => "it is too large",
-            Self::Foreign => "it is of another kind or version",
-            Self::Torn => "it is cut short or was changed",
-            Self::Old => "it is too old",
-            Self::Other => "it is another router's",
+            Self::UnknownFormat => "it is of another kind or version",
+            Self::Corrupt => "it is cut short or was changed",
+            Self::Stale => "it is too old",
+            Self::OtherRouter => "it is another router's",
         })
     }
 }
@@ -150,13 +150,13 @@
     }
 
     /// Forgets processes that are gone: by what else is known of them, or by their silence.
-    pub fn forget_gone(&mut self, now: BootTime, alive: impl Fn(u64) -> Option<bool>) {
-        let by_word = |presence: &Presence| now.since(presence.said).abs() <= SILENT_MS;
+    pub fn remove_exited(&mut self, now: BootTime, alive: impl Fn(u64) -> Option<bool>) {
+        let by_word = |presence: &Presence| now.since(presence.said).abs() <= PROCESS_TIMEOUT_MS;
         self.processes.retain(|id, presence| alive(*id).unwrap_or_else(|| by_word(presence)));
     }
 
     /// A process says that it is there, and whether it was told to end.
-    pub fn say(&mut self, me: u64, ends: bool, now: BootTime) {
+    pub fn record_process(&mut self, me: u64, ends: bool, now: BootTime) {
         self.saved = now;
         self.processes.insert(me, Presence { said: now, ends });
         while self.processes.len() > MOST_PROCESSES {
@@ -168,15 +168,22 @@
     }
 
     /// An operator's call to a process: a machine is out from now on, or back.
-    pub fn call(&mut self, me: u64, ends: bool, name: &str, out: bool, now: BootTime) -> Result<(), TooMany> {
+    pub fn set_excluded(
+        &mut self,
+        me: u64,
+        ends: bool,
+        name: &str,
+        out: bool,
+        now: BootTime,
+    ) -> Result<(), TooMany> {
         self.excluded.change(name, out, now)?;
         self.calls.insert(name.to_owned(), Call { at: now, out });
-        self.say(me, ends, now);
+        self.record_process(me, ends, now);
         Ok(())
     }
 
     /// Notes which machines are still listed, and forgets names that are long gone.
-    pub fn age(&mut self, now: BootTime, listed: impl Fn(&str) -> bool) {
+    pub fn expire(&mut self, now: BootTime, listed: impl Fn(&str) -> bool) {
         self.excluded.expire(now, listed);
         let excluded = &self.excluded;
         self.calls.retain(|name, call| excluded.contains(name) || now.since(call.at) <= REMEMBERED_MS);
@@ -193,7 +200,7 @@
     }
 
     /// A process is gone.
-    pub fn leave(&mut self, me: u64, now: BootTime) {
+    pub fn remove_process(&mut self, me: u64, now: BootTime) {
         self.saved = now;
         self.processes.remove(&me);
     }
@@ -225,7 +232,7 @@
     }
 
     /// Whether this state says anything of a machine that the other doesn't know.
-    pub fn knows_more_than(&self, other: &Self) -> bool {
+    pub fn has_changes_unknown_to(&self, other: &Self) -> bool {
         if other.is_whole {
             return false;
         }
@@ -237,15 +244,15 @@
     }
 
     /// Whether it was saved so long ago that whoever did is gone, if nothing else is known of them.
-    pub fn is_old(&self, boot_id: &str, now: BootTime) -> bool {
-        self.boot_id != boot_id || !(-OLD_MS..=OLD_MS).contains(&now.since(self.saved))
+    pub fn is_stale(&self, boot_id: &str, now: BootTime) -> bool {
+        self.boot_id != boot_id || !(-STALE_AFTER_MS..=STALE_AFTER_MS).contains(&now.since(self.saved))
     }
 
     /// The part of the cold budget that a process may spend: alone all of it, beside others an equal part. One that ends
     /// leaves it to its successors, if it has any. `alive`: what else is known of whether a process runs.
-    pub fn cold_part(&self, me: u64, now: BootTime, alive: impl Fn(u64) -> Option<bool>) -> f64 {
+    pub fn cold_share(&self, me: u64, now: BootTime, alive: impl Fn(u64) -> Option<bool>) -> f64 {
         let there = |(id, presence): &(&u64, &Presence)| {
-            let by_word = || now.since(presence.said).abs() <= SILENT_MS;
+            let by_word = || now.since(presence.said).abs() <= PROCESS_TIMEOUT_MS;
             **id != me && alive(**id).unwrap_or_else(by_word)
         };
         let others = self.processes.iter().filter(there).filter(|(_, presence)| !presence.ends).count();
@@ -256,7 +263,7 @@
     }
 
     /// The bytes of a file; `None`: there is more than a file may hold.
-    pub fn write(&self, now: Now) -> Option<Vec<u8>> {
+    pub fn encode(&self, now: ClockReading) -> Option<Vec<u8>> {
         let wall = |at: BootTime| UnixTime(now.unix.0 - now.boot.since(at));
         let excluded = self.excluded.names().map(|name| {
             let listed = self.excluded.last_listed(name).unwrap_or(now.boot);
@@ -280,7 +287,7 @@
             processes: self.processes.clone(),
         };
         let body = postcard::to_stdvec(&(wall_clock_part, boot_part)).ok();
-        let body = body.filter(|body| body.len() <= MAX_FILE - HEAD)?;
+        let body = body.filter(|body| body.len() <= MAX_FILE_BYTES - HEAD)?;
         let mut out = MAGIC.to_vec();
         out.extend_from_slice(&(body.len() as u32).to_le_bytes());
         out.extend_from_slice(&XxHash64::oneshot(0, &body).to_le_bytes());
@@ -289,26 +296,26 @@
     }
 
     /// Reads a file's bytes for the router that listens there. How old it may be is for the caller to say.
-    pub fn read(bytes: &[u8], listen: &str, boot_id: &str, now: Now) -> Result<Self, Refused> {
-        if bytes.len() > MAX_FILE {
-            return Err(Refused::TooLarge);
+    pub fn decode(bytes: &[u8], listen: &str, boot_id: &str, now: ClockReading) -> Result<Self, StateError> {
+        if bytes.len() > MAX_FILE_BYTES {
+            return Err(StateError::TooLarge);
         }
-        let rest = bytes.strip_prefix(MAGIC).ok_or(Refused::Foreign)?;
-        let (length, rest) = rest.split_first_chunk::<4>().ok_or(Refused::Torn)?;
-        let (sum, body) = rest.split_first_chunk::<8>().ok_or(Refused::Torn)?;
+        let rest = bytes.strip_prefix(MAGIC).ok_or(StateError::UnknownFormat)?;
+        let (length, rest) = rest.split_first_chunk::<4>().ok_or(StateError::Corrupt)?;
+        let (sum, body) = rest.split_first_chunk::<8>().ok_or(StateError::Corrupt)?;
         let whole = body.len() == u32::from_le_bytes(*length) as usize;
         if !whole || XxHash64::oneshot(0, body) != u64::from_le_bytes(*sum) {
-            return Err(Refused::Torn);
+            return Err(StateError::Corrupt);
         }
         let (wall_clock_part, rest) =
-            postcard::take_from_bytes::<WallClockPart>(body).map_err(|_| Refused::Torn)?;
+            postcard::take_from_bytes::<WallClockPart>(body).map_err(|_| StateError::Corrupt)?;
         if wall_clock_part.listen != listen {
-            return Err(Refused::Other);
+            return Err(StateError::OtherRouter);
         }
         if rest.is_empty() {
-            return Self::of_an_earlier_version(wall_clock_part, boot_id, now);
+            return Self::decode_earlier_version(wall_clock_part, boot_id, now);
         }
-        let part: BootPart = postcard::from_bytes(rest).map_err(|_| Refused::Torn)?;
+        let part: BootPart = postcard::from_bytes(rest).map_err(|_| StateError::Corrupt)?;
         let mut state = Self::new(&wall_clock_part.listen, &part.boot_id);
         (state.saved, state.processes) = (part.saved, part.processes);
         for (name, Entry { at, out, listed }) in part.entries {
@@ -319,10 +326,14 @@
     }
 
     /// What a process of an earlier version has saved: its ages are by the wall clock.
-    fn of_an_earlier_version(part: WallClockPart, boot_id: &str, now: Now) -> Result<Self, Refused> {
+    fn decode_earlier_version(
+        part: WallClockPart,
+        boot_id: &str,
+        now: ClockReading,
+    ) -> Result<Self, StateError> {
         let age = now.unix.0 - part.saved.0;
-        if !(-OLD_MS..=OLD_MS).contains(&age) {
-            return Err(Refused::Old);
+        if !(-STALE_AFTER_MS..=STALE_AFTER_MS).contains(&age) {
+            return Err(StateError::Stale);
         }
         let mut state = Self::new(&part.listen, boot_id);
         (state.saved, state.is_whole) = (now.boot, true);
--- a/src/handover/store.rs
+++ b/src/handover/store.rs
@@ -7,10 +7,10 @@
 //! - a change is read, applied and put in place under one lock ([`Store::change`]), and answered yes after;
 //! - a process that has started beside a file that can't be used knows nothing ([`Knowledge::None`]) and writes nothing
 //!   while another one runs;
-//! - whoever knows more than the file says writes that, and goes on until it is there ([`Store::look`], `owes`);
+//! - whoever knows more than the file says writes that, and goes on until it is there ([`Store::refresh`], `owes`);
 //! - the later call about a machine wins ([`State::merge`]).
 
-use super::{Now, State, EVERY_MS};
+use super::{ClockReading, State, SAVE_INTERVAL_MS};
 use crate::api::Millis;
 use crate::clock::BootTime;
 use crate::log_line;
@@ -32,17 +32,17 @@
     /// What the file says; `None`: there is none.
     fn read(&self) -> io::Result<Option<Vec<u8>>>;
     /// Writes a new file beside it.
-    fn write_beside(&mut self, bytes: &[u8]) -> io::Result<()>;
+    fn write_temporary(&mut self, bytes: &[u8]) -> io::Result<()>;
     /// Has what was written beside it reach the disk.
-    fn sync_beside(&mut self) -> io::Result<()>;
+    fn sync_temporary(&mut self) -> io::Result<()>;
     /// Puts the new file in its place.
-    fn put_in_place(&mut self) -> io::Result<()>;
+    fn replace_file(&mut self) -> io::Result<()>;
     /// Has that reach the disk.
     fn sync_folder(&mut self) -> io::Result<()>;
     /// Whether another process runs; `None`: that can't be told from the folder.
     fn is_alive(&self, process: u64) -> Option<bool>;
     /// Whether any other process runs, as far as the folder tells. In doubt one does.
-    fn others_run(&self) -> bool;
+    fn other_process_runs(&self) -> bool;
 }
 
 /// What a process knows of the router's state.
@@ -56,26 +56,26 @@
 
 /// What a look at the file has brought.
 #[derive(Debug)]
-pub enum Looked {
+pub enum Refreshed {
     /// Nothing new.
-    Same,
+    ChangeError,
     /// Another process has changed it.
     Changed,
     /// It can't be used.
-    Spoilt,
+    Unusable,
     /// It can't be read.
-    Unread(io::Error),
+    Unreadable(io::Error),
 }
 
 /// Why a change doesn't hold.
 #[derive(Debug)]
-pub enum Unchanged {
+pub enum ChangeError {
     /// As many machines are out as may be.
-    TooMany(TooMany),
+    TooManyExcluded(TooMany),
     /// It could not be saved.
-    Unsaved(io::Error),
+    NotSaved(io::Error),
     /// This process knows nothing of what another one has said yes to.
-    Unknowing,
+    StateUnknown,
 }
 
 /// Whether a change is on the disk before it counts.
@@ -108,8 +108,8 @@
 }
 
 impl<F: Folder> Store<F> {
-    /// A process that starts, under a number of its own. To be followed by [`Store::upkeep`].
-    pub fn new(folder: F, me: u64, listen: &str, boot_id: &str, now: Now) -> Self {
+    /// A process that starts, under a number of its own. To be followed by [`Store::maintain`].
+    pub fn new(folder: F, me: u64, listen: &str, boot_id: &str, now: ClockReading) -> Self {
         Self {
             folder,
             me,
@@ -136,62 +136,62 @@
     }
 
     /// Whether it was saved that this process ends, and another one runs that takes its part over.
-    pub fn is_succeeded(&self, now: BootTime) -> bool {
-        self.said_end && self.cold_part(now) == 0.0
+    pub fn has_successor(&self, now: BootTime) -> bool {
+        self.said_end && self.cold_share(now) == 0.0
     }
 
     /// The part of the cold budget that this process may spend.
-    pub fn cold_part(&self, now: BootTime) -> f64 {
-        self.state.cold_part(self.me, now, |id| self.folder.is_alive(id))
+    pub fn cold_share(&self, now: BootTime) -> f64 {
+        self.state.cold_share(self.me, now, |id| self.folder.is_alive(id))
     }
 
     /// Whether this process must not end yet if it can help it: what it has said yes to is in no file.
-    pub fn owes(&self) -> bool {
+    pub fn has_unsaved_changes(&self) -> bool {
         self.owes && !self.state.excluded().is_empty()
     }
 
-    /// When [`Store::upkeep`] is wanted.
-    pub fn due(&self) -> BootTime {
+    /// When [`Store::maintain`] is wanted.
+    pub fn next_save_at(&self) -> BootTime {
         self.save_at
     }
 
     /// Reads the file.
-    pub fn look(&mut self, now: Now) -> Looked {
+    pub fn refresh(&mut self, now: ClockReading) -> Refreshed {
         let bytes = match self.folder.read() {
-            Err(e) => return Looked::Unread(e),
+            Err(e) => return Refreshed::Unreadable(e),
             Ok(None) if self.was_there => {
                 self.owes = true; // Somebody has taken it away.
-                return Looked::Spoilt;
+                return Refreshed::Unusable;
             }
             // Nobody has said yes to anything yet: it would be there.
             Ok(None) => {
                 self.knowledge = Knowledge::All;
-                return Looked::Same;
+                return Refreshed::ChangeError;
             }
             Ok(Some(bytes)) => bytes,
         };
         let hash = Some(XxHash64::oneshot(0, &bytes));
         if self.seen == hash {
-            return Looked::Same;
+            return Refreshed::ChangeError;
         }
         self.seen = hash;
-        let read = State::read(&bytes, &self.listen, &self.boot_id, now);
+        let read = State::decode(&bytes, &self.listen, &self.boot_id, now);
         let read = read.and_then(|state| {
             // Whoever runs has kept it, however long ago it was last written.
-            let kept = self.knowledge == Knowledge::All || self.folder.others_run();
-            let old = !kept && state.is_old(&self.boot_id, now.boot);
+            let kept = self.knowledge == Knowledge::All || self.folder.other_process_runs();
+            let old = !kept && state.is_stale(&self.boot_id, now.boot);
             if old {
-                Err(super::Refused::Old)
+                Err(super::StateError::Stale)
             } else {
                 Ok(state)
             }
         });
         match read {
             Ok(state) => {
-                self.owes = self.state.knows_more_than(&state);
+                self.owes = self.state.has_changes_unknown_to(&state);
                 self.state.merge(&state);
                 (self.knowledge, self.was_there) = (Knowledge::All, true);
-                Looked::Changed
+                Refreshed::Changed
             }
             Err(why) => {
                 log_line!("what another process has saved is not taken: {why}");
@@ -199,23 +199,23 @@
                 if self.owes {
                     self.save_at = now.boot;
                 }
-                Looked::Spoilt
+                Refreshed::Unusable
             }
         }
     }
 
     /// A process that knows nothing, with nobody left who does: what it knows is all there is.
     fn conclude(&mut self) {
-        if self.knowledge == Knowledge::None && !self.folder.others_run() {
+        if self.knowledge == Knowledge::None && !self.folder.other_process_runs() {
             (self.knowledge, self.owes) = (Knowledge::All, true);
         }
     }
 
     /// Looks at the file, and keeps it fresh: says that this process is there and whether it ends, and writes what is owed.
     /// `listed`: whether a machine is listed now.
-    pub fn upkeep(&mut self, now: Now, ends: bool, listed: impl Fn(&str) -> bool) {
-        let looked = self.look(now);
-        if let Looked::Unread(e) = &looked {
+    pub fn maintain(&mut self, now: ClockReading, ends: bool, listed: impl Fn(&str) -> bool) {
+        let looked = self.refresh(now);
+        if let Refreshed::Unreadable(e) = &looked {
             log_line!("what another process has saved can't be read: {e}");
         }
         self.conclude();
@@ -229,63 +229,69 @@
         // Only what a yes hangs on is worth the wait for the disk.
         let sync = if self.owes { Sync::Awaited } else { Sync::NotAwaited };
         let saved = self.change(now, sync, |state| {
-            state.age(now.boot, listed);
-            state.forget_gone(now.boot, |id| alive.get(&id).copied());
-            state.say(me, ends, now.boot);
+            state.expire(now.boot, listed);
+            state.remove_exited(now.boot, |id| alive.get(&id).copied());
+            state.record_process(me, ends, now.boot);
             Ok(())
         });
         match saved {
             Ok(()) => self.said_end = ends,
-            Err(Unchanged::Unsaved(e)) => {
+            Err(ChangeError::NotSaved(e)) => {
                 self.save_at = BootTime(now.boot.0 + AGAIN_MS);
                 log_line!("what the next process must know can't be saved: {e}");
             }
-            Err(Unchanged::TooMany(_) | Unchanged::Unknowing) => {}
+            Err(ChangeError::TooManyExcluded(_) | ChangeError::StateUnknown) => {}
         }
     }
 
     /// One change: what is saved now, the change applied, saved. A change that isn't made writes nothing.
     fn change(
         &mut self,
-        now: Now,
+        now: ClockReading,
         sync: Sync,
         change: impl FnOnce(&mut State) -> Result<(), TooMany>,
-    ) -> Result<(), Unchanged> {
-        let _lock = self.folder.lock().map_err(Unchanged::Unsaved)?;
-        if let Looked::Unread(e) = self.look(now) {
-            return Err(Unchanged::Unsaved(e)); // It may say more than this process knows.
+    ) -> Result<(), ChangeError> {
+        let _lock = self.folder.lock().map_err(ChangeError::NotSaved)?;
+        if let Refreshed::Unreadable(e) = self.refresh(now) {
+            return Err(ChangeError::NotSaved(e)); // It may say more than this process knows.
         }
         self.conclude();
         if self.knowledge != Knowledge::All {
-            return Err(Unchanged::Unknowing);
+            return Err(ChangeError::StateUnknown);
         }
         let mut state = self.state.clone();
-        change(&mut state).map_err(Unchanged::TooMany)?;
-        self.save(state, now, sync).map_err(Unchanged::Unsaved)
+        change(&mut state).map_err(ChangeError::TooManyExcluded)?;
+        self.save(state, now, sync).map_err(ChangeError::NotSaved)
     }
 
     /// An operator's call: a machine is out from now on, or back.
-    pub fn call(&mut self, now: Now, ends: bool, name: &str, out: bool) -> Result<(), Unchanged> {
+    pub fn set_excluded(
+        &mut self,
+        now: ClockReading,
+        ends: bool,
+        name: &str,
+        out: bool,
+    ) -> Result<(), ChangeError> {
         let me = self.me;
-        self.change(now, Sync::Awaited, |state| state.call(me, ends, name, out, now.boot))
+        self.change(now, Sync::Awaited, |state| state.set_excluded(me, ends, name, out, now.boot))
     }
 
     /// This process ends: whoever runs on has the whole budget.
-    pub fn leave(&mut self, now: Now) -> Result<(), Unchanged> {
+    pub fn leave_router(&mut self, now: ClockReading) -> Result<(), ChangeError> {
         let me = self.me;
         self.change(now, Sync::NotAwaited, |state| {
-            state.leave(me, now.boot);
+            state.remove_process(me, now.boot);
             Ok(())
         })
     }
 
-    fn save(&mut self, state: State, now: Now, sync: Sync) -> io::Result<()> {
-        let bytes = state.write(now).ok_or_else(|| io::Error::other("there is too much"))?;
-        self.folder.write_beside(&bytes)?;
+    fn save(&mut self, state: State, now: ClockReading, sync: Sync) -> io::Result<()> {
+        let bytes = state.encode(now).ok_or_else(|| io::Error::other("there is too much"))?;
+        self.folder.write_temporary(&bytes)?;
         if sync == Sync::Awaited {
-            self.folder.sync_beside()?;
+            self.folder.sync_temporary()?;
         }
-        if let Err(e) = self.folder.put_in_place() {
+        if let Err(e) = self.folder.replace_file() {
             // It may have been done all the same: then it holds, whatever is answered.
             if !self.folder.read().is_ok_and(|there| there.as_ref() == Some(&bytes)) {
                 return Err(e);
@@ -299,7 +305,7 @@
         }
         (self.seen, self.state) = (Some(XxHash64::oneshot(0, &bytes)), state);
         (self.was_there, self.owes) = (true, false);
-        self.save_at = BootTime(now.boot.0 + EVERY_MS);
+        self.save_at = BootTime(now.boot.0 + SAVE_INTERVAL_MS);
         Ok(())
     }
 }
--- a/src/handover/store/tests.rs
+++ b/src/handover/store/tests.rs
@@ -124,7 +124,7 @@
         Ok(self.disk.borrow().file.clone())
     }
 
-    fn write_beside(&mut self, bytes: &[u8]) -> io::Result<()> {
+    fn write_temporary(&mut self, bytes: &[u8]) -> io::Result<()> {
         let me = self.me;
         self.step(|disk, wholly| {
             let written = if wholly { bytes } else { &bytes[..bytes.len() / 2] };
@@ -132,11 +132,11 @@
         })
     }
 
-    fn sync_beside(&mut self) -> io::Result<()> {
+    fn sync_temporary(&mut self) -> io::Result<()> {
         self.step(|_, _| {})
     }
 
-    fn put_in_place(&mut self) -> io::Result<()> {
+    fn replace_file(&mut self) -> io::Result<()> {
         let me = self.me;
         self.step(|disk, wholly| {
             if let Some(bytes) = disk.beside.remove(&me).filter(|_| wholly) {
@@ -153,7 +153,7 @@
         Some(self.disk.borrow().alive.contains(&process))
     }
 
-    fn others_run(&self) -> bool {
+    fn other_process_runs(&self) -> bool {
         self.disk.borrow().alive.iter().any(|process| *process != self.me)
     }
 }
@@ -192,12 +192,12 @@
         world
     }
 
-    fn now(&self) -> Now {
-        Now { boot: BootTime(self.now_ms), unix: UnixTime(1e12) }
+    fn now(&self) -> ClockReading {
+        ClockReading { boot: BootTime(self.now_ms), unix: UnixTime(1e12) }
     }
 
     /// Time passes with every step.
-    fn tick(&mut self) -> Now {
+    fn tick(&mut self) -> ClockReading {
         self.now_ms += 1.0;
         self.now()
     }
@@ -244,13 +244,13 @@
     /// What the file says, if it can be used.
     fn file(&self) -> Option<State> {
         let disk = self.disk.borrow();
-        State::read(disk.file.as_ref()?, LISTEN, BOOT, self.now()).ok()
+        State::decode(disk.file.as_ref()?, LISTEN, BOOT, self.now()).ok()
     }
 
     fn upkeep(&mut self, process: u64) {
         let now = self.tick();
         let Some(store) = self.processes.get_mut(&process) else { return };
-        store.upkeep(now, false, |_| true);
+        store.maintain(now, false, |_| true);
         self.bury();
     }
 
@@ -264,7 +264,7 @@
         let now = self.tick();
         self.disk.borrow_mut().fates = fates;
         let Some(store) = self.processes.get_mut(&process) else { return };
-        let answer = store.call(now, false, name, out);
+        let answer = store.set_excluded(now, false, name, out);
         self.disk.borrow_mut().fates.clear();
         match answer {
             Ok(()) => {
@@ -293,7 +293,7 @@
             .collect();
         assert!(known.len() <= 1, "they differ: {known:?}");
         for (process, store) in &self.processes {
-            assert!(!store.owes(), "{process} still owes");
+            assert!(!store.has_unsaved_changes(), "{process} still owes");
             for (name, promise) in &self.promised {
                 assert_eq!(store.state().excluded().contains(name), promise.out, "{name} in {process}");
             }
@@ -418,12 +418,12 @@
     world.start();
     let (new, now) = (world.started, world.tick());
     let store = world.processes.get_mut(&new).expect("it runs");
-    assert!(matches!(store.call(now, false, NAMES[1], true), Err(Unchanged::Unknowing)));
+    assert!(matches!(store.set_excluded(now, false, NAMES[1], true), Err(ChangeError::StateUnknown)));
     // As the other one dies without a word, what the new one knows is all there is.
     world.disk.borrow_mut().dies(old);
     let now = world.tick();
     let store = world.processes.get_mut(&new).expect("it runs");
-    assert!(store.call(now, false, NAMES[1], true).is_ok());
+    assert!(store.set_excluded(now, false, NAMES[1], true).is_ok());
 }
 
 #[test]
@@ -435,11 +435,11 @@
     world.disk.borrow_mut().fates = vec![Fate::Fails];
     world.upkeep(process);
     let store = &world.processes[&process];
-    assert!(store.owes());
-    let wait = store.due().since(BootTime(world.now_ms));
+    assert!(store.has_unsaved_changes());
+    let wait = store.next_save_at().since(BootTime(world.now_ms));
     assert!((10.0..=100.0).contains(&wait), "{wait} ms");
     world.now_ms += wait;
     world.upkeep(process);
     let file = world.file().expect("it is written again");
-    assert!(!world.processes[&process].owes() && file.excluded().contains(NAMES[0]));
+    assert!(!world.processes[&process].has_unsaved_changes() && file.excluded().contains(NAMES[0]));
 }
--- a/src/operator/form.rs
+++ b/src/operator/form.rs
@@ -16,20 +16,20 @@
 const LIKE: f64 = 0.7;
 
 /// A line and a column, both from 1.
-pub type Place = (usize, usize);
+pub type Position = (usize, usize);
 
 /// One fault of a file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Fault {
     /// Where.
-    pub at: Place,
+    pub at: Position,
     /// What is wrong, and what is wanted.
     pub reason: String,
 }
 
 impl Fault {
     /// One fault.
-    pub fn new(at: Place, reason: impl Into<String>) -> Self {
+    pub fn new(at: Position, reason: impl Into<String>) -> Self {
         Self { at, reason: reason.into() }
     }
 }
@@ -72,7 +72,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Node {
     /// Where it begins.
-    pub at: Place,
+    pub at: Position,
     /// What it is.
     pub form: Form,
 }
@@ -180,7 +180,7 @@
 
 impl Reader {
     /// Notes a fault.
-    pub fn fault(&mut self, at: Place, reason: impl Into<String>) {
+    pub fn fault(&mut self, at: Position, reason: impl Into<String>) {
         if self.0.len() < MAX_FAULTS {
             self.0.push(Fault::new(at, reason));
         }
@@ -235,7 +235,7 @@
     }
 
     /// One of the known words; the nearest of them is named where it isn't.
-    pub fn known(&mut self, at: Place, word: &str, known: &[&'static str]) -> Option<&'static str> {
+    pub fn known(&mut self, at: Position, word: &str, known: &[&'static str]) -> Option<&'static str> {
         if let Some(found) = known.iter().find(|known| **known == word) {
             return Some(found);
         }
@@ -328,7 +328,7 @@
     }
 
     /// Exactly `N` forms.
-    pub fn exactly<'a, const N: usize>(&mut self, at: Place, nodes: &'a [Node]) -> Option<&'a [Node; N]> {
+    pub fn exactly<'a, const N: usize>(&mut self, at: Position, nodes: &'a [Node]) -> Option<&'a [Node; N]> {
         let found = <&[Node; N]>::try_from(nodes).ok();
         if found.is_none() {
             self.fault(at, format!("{N} are wanted here, not {}", nodes.len()));
--- a/src/operator/mod.rs
+++ b/src/operator/mod.rs
@@ -24,7 +24,7 @@
 
 /// What an operator's file says. A section that isn't there is off.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Operator {
+pub struct OperatorConfig {
     /// `(addresses …)`: several addresses for one machine.
     pub addresses: Option<AddressSettings>,
     /// `(plugins …)`: the operators' own programs that give advice, in their order.
@@ -34,16 +34,16 @@
     /// `(fleet …)`: the other request routers, and where this one hears them.
     pub fleet: Option<crate::fleet::Settings>,
     /// Where SIGUSR1 has the latest views of requests written, for `frostturn plugin run`.
-    pub record: Option<PathBuf>,
+    pub view_record_path: Option<PathBuf>,
 }
 
-impl Operator {
+impl OperatorConfig {
     /// Reads a file's bytes.
     ///
     /// ```
-    /// let good = frostturn::operator::Operator::read(b"(frostturn (addresses (order ipv6 ipv4)))");
+    /// let good = frostturn::operator::OperatorConfig::read(b"(frostturn (addresses (order ipv6 ipv4)))");
     /// assert_eq!(good.unwrap().addresses.unwrap().family_order.len(), 2);
-    /// let bad = frostturn::operator::Operator::read(b"(frostturn\n  (adresses))").unwrap_err();
+    /// let bad = frostturn::operator::OperatorConfig::read(b"(frostturn\n  (adresses))").unwrap_err();
     /// assert!(bad.to_string().starts_with("2:4: "));
     /// ```
     pub fn read(bytes: &[u8]) -> Result<Self, Faults> {
@@ -63,7 +63,7 @@
                 "addresses" => operator.addresses = Some(addresses::read(&mut reader, rest)),
                 "fleet" => operator.fleet = fleet::read(&mut reader, section, rest),
                 "ops" => operator.ops_socket = ops(&mut reader, section, rest),
-                _ => (operator.plugins, operator.record) = plugins::read(&mut reader, rest),
+                _ => (operator.plugins, operator.view_record_path) = plugins::read(&mut reader, rest),
             }
         }
         reader.finish(operator)
--- a/src/ops/control.rs
+++ b/src/ops/control.rs
@@ -5,18 +5,18 @@
 use std::path::PathBuf;
 
 /// Bytes of an answer, at most.
-pub const MAX_ANSWER: usize = 64 * 1024;
+pub const MAX_ANSWER_BYTES: usize = 64 * 1024;
 
 /// Where a router's operators call.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Place {
+pub enum OpsAddress {
     /// Over TCP.
     Tcp(SocketAddr),
     /// Over a Unix socket.
     Unix(PathBuf),
 }
 
-impl std::str::FromStr for Place {
+impl std::str::FromStr for OpsAddress {
     type Err = String;
 
     /// An address and port, or the absolute path of a Unix socket.
@@ -30,7 +30,7 @@
     }
 }
 
-impl std::fmt::Display for Place {
+impl std::fmt::Display for OpsAddress {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
             Self::Tcp(address) => write!(f, "{address}"),
@@ -59,9 +59,9 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Answer {
     /// Yes, with what was said beside it.
-    Yes(String),
+    Accepted(String),
     /// No: not now, or no such machine.
-    No(String),
+    Rejected(String),
     /// It could not be done, or the call was out of form.
     Failed(u16, String),
 }
@@ -85,8 +85,8 @@
         String::from_utf8_lossy(&body[..length.unwrap_or(body.len()).min(body.len())]).trim().to_owned();
     match status {
         _ if !whole => Err("the answer broke off"),
-        200..=299 => Ok(Answer::Yes(text)),
-        404 | 503 => Ok(Answer::No(text)),
+        200..=299 => Ok(Answer::Accepted(text)),
+        404 | 503 => Ok(Answer::Rejected(text)),
         _ => Ok(Answer::Failed(status, text)),
     }
 }
--- a/src/ops/control/tests.rs
+++ b/src/ops/control/tests.rs
@@ -16,20 +16,20 @@
     for call in calls {
         assert_eq!(ops::read(&write(&call)), Ok(Some(call)));
     }
-    assert_eq!(read(&ops::answer(Ok(Verdict::Yes))), Ok(Answer::Yes("yes".into())));
-    for verdict in [Verdict::No, Verdict::Unknown, Verdict::TooMany] {
-        assert!(matches!(read(&ops::answer(Ok(verdict))), Ok(Answer::No(_))), "{verdict:?}");
+    assert_eq!(read(&ops::answer(Ok(Verdict::Accepted))), Ok(Answer::Accepted("yes".into())));
+    for verdict in [Verdict::Rejected, Verdict::UnknownMachine, Verdict::TooManyExcluded] {
+        assert!(matches!(read(&ops::answer(Ok(verdict))), Ok(Answer::Rejected(_))), "{verdict:?}");
     }
-    assert!(matches!(read(&ops::answer(Ok(Verdict::Unsaved))), Ok(Answer::Failed(500, _))));
+    assert!(matches!(read(&ops::answer(Ok(Verdict::NotSaved))), Ok(Answer::Failed(500, _))));
     assert!(matches!(read(&ops::answer(Err(Refusal(413, "large")))), Ok(Answer::Failed(413, _))));
-    let whole = ops::answer(Ok(Verdict::Yes));
+    let whole = ops::answer(Ok(Verdict::Accepted));
     assert!((0..whole.len()).all(|at| read(&whole[..at]).is_err()), "a part is no answer");
     assert!(read(b"-ERR\r\n").is_err());
 }
 
 #[test]
 fn a_place_is_an_address_or_a_path() {
-    assert_eq!("127.0.0.1:9600".parse(), Ok(Place::Tcp(([127, 0, 0, 1], 9600).into())));
-    assert_eq!("/run/a.sock".parse(), Ok(Place::Unix("/run/a.sock".into())));
-    assert!("a.sock".parse::<Place>().is_err() && "localhost".parse::<Place>().is_err());
+    assert_eq!("127.0.0.1:9600".parse(), Ok(OpsAddress::Tcp(([127, 0, 0, 1], 9600).into())));
+    assert_eq!("/run/a.sock".parse(), Ok(OpsAddress::Unix("/run/a.sock".into())));
+    assert!("a.sock".parse::<OpsAddress>().is_err() && "localhost".parse::<OpsAddress>().is_err());
 }
--- a/src/ops/mod.rs
+++ b/src/ops/mod.rs
@@ -7,12 +7,12 @@
 mod telemetry;
 
 use crate::api::Millis;
-pub use telemetry::{Disposition, FleetFigures, Results, Telemetry};
+pub use telemetry::{Disposition, FleetStats, Results, Telemetry};
 
 /// Bytes of one call, head and body.
-pub const MAX_CALL: usize = 4096;
+pub const MAX_CALL_BYTES: usize = 4096;
 /// A call is whole by then, or its caller is let go: callers that connect and say nothing hold nothing up.
-pub const WHOLE_MS: Millis = 1000.0;
+pub const CALL_TIMEOUT_MS: Millis = 1000.0;
 /// Callers at once; beyond that the one that has waited longest is let go.
 pub const MAX_CALLERS: usize = 16;
 /// Bytes of a machine's name.
@@ -41,15 +41,15 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
     /// Yes.
-    Yes,
+    Accepted,
     /// Not now: 503.
-    No,
+    Rejected,
     /// There is no such machine: 404.
-    Unknown,
+    UnknownMachine,
     /// As many machines are out as may be: 503.
-    TooMany,
+    TooManyExcluded,
     /// It could not be saved for the other process, so it doesn't hold here either: 500.
-    Unsaved,
+    NotSaved,
 }
 
 /// Why a call can't be taken, as an HTTP status and a reason (RFC 9110, section 15.5).
@@ -58,7 +58,7 @@
 
 /// Reads a call; `None`: it isn't whole yet.
 pub fn read(bytes: &[u8]) -> Result<Option<Call>, Refusal> {
-    if bytes.len() > MAX_CALL {
+    if bytes.len() > MAX_CALL_BYTES {
         return Err(Refusal(413, "the call is too large"));
     }
     let mut headers = [httparse::EMPTY_HEADER; 32];
@@ -77,7 +77,7 @@
             return Err(Refusal(411, "a length is wanted"));
         }
     }
-    if length > MAX_CALL {
+    if length > MAX_CALL_BYTES {
         return Err(Refusal(413, "the call is too large"));
     }
     let Some(body) = bytes[start..].get(..length) else { return Ok(None) };
@@ -106,11 +106,11 @@
 /// An answer's bytes.
 pub fn answer(verdict: Result<Verdict, Refusal>) -> Vec<u8> {
     let (status, words, reason) = match verdict {
-        Ok(Verdict::Yes) => (200, "OK", "yes"),
-        Ok(Verdict::No) => (503, "Service Unavailable", "no"),
-        Ok(Verdict::Unknown) => (404, "Not Found", "there is no such machine"),
-        Ok(Verdict::TooMany) => (503, "Service Unavailable", "too many machines are out"),
-        Ok(Verdict::Unsaved) => {
+        Ok(Verdict::Accepted) => (200, "OK", "yes"),
+        Ok(Verdict::Rejected) => (503, "Service Unavailable", "no"),
+        Ok(Verdict::UnknownMachine) => (404, "Not Found", "there is no such machine"),
+        Ok(Verdict::TooManyExcluded) => (503, "Service Unavailable", "too many machines are out"),
+        Ok(Verdict::NotSaved) => {
             (500, "Internal Server Error", "it could not be saved, and nothing is changed")
         }
         Err(Refusal(status, reason)) => (status, "Refused", reason),
@@ -119,13 +119,13 @@
 }
 
 /// The answer to [`Call::Telemetry`].
-pub fn report(telemetry: &Telemetry) -> Vec<u8> {
+pub fn telemetry_answer(telemetry: &Telemetry) -> Vec<u8> {
     page(200, "OK", "application/json", &telemetry.json())
 }
 
 /// The answer to [`Call::Fleet`]: the picture, or none where another process of this router speaks; none at all where
 /// the operator's file has no such section.
-pub fn fleet(view: Option<Option<crate::fleet::View>>) -> Vec<u8> {
+pub fn fleet_answer(view: Option<Option<crate::fleet::View>>) -> Vec<u8> {
     let text = match view {
         None => return page(404, "Not Found", "text/plain", "there is no (fleet …) in the operator's file"),
         Some(None) => "another process of this router speaks for it".to_owned(),
--- a/src/ops/telemetry.rs
+++ b/src/ops/telemetry.rs
@@ -59,23 +59,23 @@
     /// Signals to read the files again that were followed, and those that changed nothing as a file was bad.
     pub reloads: [u64; 2],
     /// What is told of the fleet, where there is one and this process speaks in it.
-    pub fleet: Option<FleetFigures>,
+    pub fleet: Option<FleetStats>,
 }
 
 /// A router's part in its fleet.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct FleetFigures {
+pub struct FleetStats {
     /// Its standing, by its word.
-    pub standing: &'static str,
+    pub quorum_status: &'static str,
     /// Other routers in each state, by its word.
     pub states: Vec<(&'static str, usize)>,
     /// Datagrams sent, taken, refused, and not sent as the system didn't take them.
     pub datagrams: [u64; 4],
 }
 
-impl FleetFigures {
+impl FleetStats {
     fn json(&self) -> String {
-        let mut out = format!("{{\"standing\":\"{}\"", self.standing);
+        let mut out = format!("{{\"standing\":\"{}\"", self.quorum_status);
         let names = ["sent", "taken", "refused", "unsent"];
         let datagrams = names.iter().zip(self.datagrams).map(|(name, count)| (*name, count));
         for (name, count) in self.states.iter().map(|(name, count)| (*name, *count as u64)).chain(datagrams) {
--- a/src/plugins/advice_filter.rs
+++ b/src/plugins/advice_filter.rs
@@ -16,11 +16,11 @@
 
 /// What the rules allow for one request.
 #[derive(Clone, Copy, Debug)]
-pub struct Allowed<'a> {
+pub struct Permissions<'a> {
     /// The machines of the view, all of which serve.
     pub names: &'a [CacheId],
     /// What the view says of them.
-    pub warm: &'a [Machine],
+    pub machines: &'a [Machine],
     /// The request's class.
     pub class: &'a ClassSettings,
     /// The site's limits.
@@ -32,33 +32,33 @@
 
 /// Advice that the rules allow.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Narrowed {
+pub struct FilteredAdvice {
     /// What the module gets.
     pub advice: Advice,
     /// Names to count under.
     pub labels: Vec<String>,
     /// Pieces that were left out or cut.
-    pub left_out: u64,
+    pub restricted: u64,
 }
 
 /// Narrows an advice's bytes.
-pub fn narrow(bytes: &[u8], allowed: &Allowed<'_>) -> Result<Narrowed, Malformed> {
-    let mut narrowed = Narrowed::default();
+pub fn filter(bytes: &[u8], allowed: &Permissions<'_>) -> Result<FilteredAdvice, Malformed> {
+    let mut narrowed = FilteredAdvice::default();
     for one in advice(bytes) {
         if !piece(one?, allowed, &mut narrowed) {
-            narrowed.left_out += 1;
+            narrowed.restricted += 1;
         }
     }
     Ok(narrowed)
 }
 
 /// Takes one piece in; false where it was left out or cut.
-fn piece(one: Said<'_>, allowed: &Allowed<'_>, narrowed: &mut Narrowed) -> bool {
+fn piece(one: Said<'_>, allowed: &Permissions<'_>, narrowed: &mut FilteredAdvice) -> bool {
     let advice = &mut narrowed.advice;
     match one {
         Said::Favour { machine, strength } => {
             let at = usize::from(machine);
-            let (Some(name), Some(seen)) = (allowed.names.get(at), allowed.warm.get(at)) else {
+            let (Some(name), Some(seen)) = (allowed.names.get(at), allowed.machines.get(at)) else {
                 return false;
             };
             // A cold machine is asked for as much as its budget allows, and nobody draws others to it.
@@ -121,7 +121,7 @@
     }
 }
 
-impl Narrowed {
+impl FilteredAdvice {
     /// What two plug-ins say of one request: strengths add up, the lowest rank, the youngest copy, the fewest
     /// attempts, and the longer of two refusals.
     pub fn merge(mut self, other: Self) -> Self {
@@ -138,7 +138,7 @@
         own.refuse_retry_after_ms =
             [own.refuse_retry_after_ms, new.refuse_retry_after_ms].into_iter().flatten().reduce(f64::max);
         self.labels.extend(other.labels);
-        self.left_out += other.left_out;
+        self.restricted += other.restricted;
         self
     }
 }
--- a/src/plugins/breaker.rs
+++ b/src/plugins/breaker.rs
@@ -19,9 +19,9 @@
     /// It is not called for a while.
     Paused,
     /// Its pause is over: it is started afresh and called.
-    Afresh,
+    Restart,
     /// It stays out.
-    Out,
+    Disabled,
 }
 
 /// The breaker of one plug-in.
@@ -38,19 +38,19 @@
     pub fn state(&self, now: Millis) -> State {
         match self.until {
             None => State::Closed,
-            Some(f64::INFINITY) => State::Out,
+            Some(f64::INFINITY) => State::Disabled,
             Some(until) if now < until => State::Paused,
-            Some(_) => State::Afresh,
+            Some(_) => State::Restart,
         }
     }
 
     /// It was started afresh.
-    pub fn begun(&mut self) {
+    pub fn restarted(&mut self) {
         (self.until, self.faults, self.good) = (None, 0, 0);
     }
 
     /// A call went well.
-    pub fn good(&mut self) {
+    pub fn record_success(&mut self) {
         self.faults = 0;
         self.good += 1;
         if self.good >= FORGIVEN {
@@ -59,7 +59,7 @@
     }
 
     /// A call failed; the pause that follows, infinite where it stays out, `None` where it goes on.
-    pub fn failed(&mut self, now: Millis) -> Option<Millis> {
+    pub fn record_failure(&mut self, now: Millis) -> Option<Millis> {
         self.faults += 1;
         self.good = 0;
         if self.faults < FAULTS && self.until.is_none() {
--- a/src/plugins/engine.rs
+++ b/src/plugins/engine.rs
@@ -25,7 +25,7 @@
 /// What starting one may cost, in calls' budgets.
 const START_CALLS: u64 = 10;
 /// Bytes of a program.
-pub const MAX_PROGRAM: usize = 1 << 20;
+pub const MAX_PROGRAM_BYTES: usize = 1 << 20;
 
 /// A function of a plug-in.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -44,13 +44,13 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Fault {
     /// It can't be compiled or lacks what it must have.
-    Program(String),
+    InvalidProgram(String),
     /// Its `init` says no, with a code.
-    Refused(i32),
+    InitFailed(i32),
     /// It trapped.
     Trap(String),
     /// Its budget was spent.
-    Budget,
+    OutOfFuel,
     /// Its advice can't be read, or lies outside its memory, or is too long.
     Malformed,
 }
@@ -58,10 +58,10 @@
 impl fmt::Display for Fault {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Program(why) => write!(f, "the program can't be used: {why}"),
-            Self::Refused(code) => write!(f, "its init ended with {code}"),
+            Self::InvalidProgram(why) => write!(f, "the program can't be used: {why}"),
+            Self::InitFailed(code) => write!(f, "its init ended with {code}"),
             Self::Trap(why) => write!(f, "it trapped: {why}"),
-            Self::Budget => f.write_str("it passed its budget"),
+            Self::OutOfFuel => f.write_str("it passed its budget"),
             Self::Malformed => f.write_str("its advice can't be read"),
         }
     }
@@ -88,12 +88,12 @@
 }
 
 fn program(why: impl fmt::Display) -> Fault {
-    Fault::Program(why.to_string())
+    Fault::InvalidProgram(why.to_string())
 }
 
 fn ran(e: wasmi::Error) -> Fault {
     match (e.kind(), e.as_trap_code()) {
-        (_, Some(TrapCode::OutOfFuel)) => Fault::Budget,
+        (_, Some(TrapCode::OutOfFuel)) => Fault::OutOfFuel,
         (ErrorKind::TrapCode(code), _) => Fault::Trap(code.trap_message().to_owned()),
         _ => Fault::Trap(e.to_string()),
     }
@@ -102,8 +102,8 @@
 impl Instance {
     /// Compiles and starts a program, and gives it its settings.
     pub fn new(bytes: &[u8], spec: &Spec) -> Result<Self, Fault> {
-        if bytes.len() > MAX_PROGRAM {
-            return Err(program(format_args!("more than {MAX_PROGRAM} bytes")));
+        if bytes.len() > MAX_PROGRAM_BYTES {
+            return Err(program(format_args!("more than {MAX_PROGRAM_BYTES} bytes")));
         }
         let mut config = Config::default();
         let stack = StackLimits::new(1024, MAX_STACK, MAX_DEPTH).map_err(|_| program("stack limits"))?;
@@ -160,7 +160,7 @@
             memory.write(&mut store, view, settings.as_bytes()).map_err(program)?;
             match init.call(&mut store, settings.len() as i32).map_err(ran)? {
                 0 => {}
-                code => return Err(Fault::Refused(code)),
+                code => return Err(Fault::InitFailed(code)),
             }
         }
         Ok(Self { store, memory, view, request, told })
--- a/src/plugins/machine_stats.rs
+++ b/src/plugins/machine_stats.rs
@@ -15,14 +15,14 @@
 
 /// The machines that may be chosen. As many as serve here; one that leaves is forgotten.
 #[derive(Clone, Debug, Default)]
-pub struct Watch {
+pub struct MachineStats {
     zone: Option<Zone>,
     upper: Vec<MachineKind>,
     cold: (f64, Millis),
     seen: BTreeMap<CacheId, Seen>,
 }
 
-impl Watch {
+impl MachineStats {
     /// None yet.
     pub fn new(settings: &Settings) -> Self {
         let upper = [&settings.parent_kind, &settings.origin_kind].into_iter().flatten().cloned().collect();
@@ -31,7 +31,7 @@
     }
 
     /// The board has spoken of a machine.
-    pub fn list(
+    pub fn update(
         &mut self,
         name: &CacheId,
         kind: &MachineKind,
@@ -50,19 +50,19 @@
     }
 
     /// A machine is gone.
-    pub fn gone(&mut self, name: &CacheId) {
+    pub fn remove(&mut self, name: &CacheId) {
         self.seen.remove(name);
     }
 
     /// An attempt goes there.
-    pub fn sent(&mut self, name: &CacheId) {
+    pub fn attempt_started(&mut self, name: &CacheId) {
         if let Some(seen) = self.seen.get_mut(name) {
             seen.out += 1;
         }
     }
 
     /// One has ended, perhaps with a report.
-    pub fn ended(&mut self, now: Millis, name: &CacheId, report: &LoadReport) {
+    pub fn attempt_ended(&mut self, now: Millis, name: &CacheId, report: &LoadReport) {
         if let Some(seen) = self.seen.get_mut(name) {
             seen.out = seen.out.saturating_sub(1);
             seen.load = report.util.map(|util| (util, now)).or(seen.load);
--- a/src/plugins/mod.rs
+++ b/src/plugins/mod.rs
@@ -10,12 +10,12 @@
 pub mod engine;
 mod machine_stats;
 
-pub use machine_stats::Watch;
+pub use machine_stats::MachineStats;
 
 use crate::api::{
     Advice, AttemptResult, CacheId, CacheStatus, ClassSettings, Millis, Outcome, Repeat, Settings,
 };
-use advice_filter::{Allowed, Narrowed};
+use advice_filter::{FilteredAdvice, Permissions};
 use breaker::{Breaker, State};
 use engine::{Fault, Hook, Instance};
 use frostturn_plugin_kit as kit;
@@ -27,11 +27,11 @@
 /// Plug-ins that may be loaded.
 pub const MAX_PLUGINS: usize = 8;
 /// Views that are kept for trials of new versions.
-pub const RECORDED: usize = 256;
+pub const MAX_RECORDED_VIEWS: usize = 256;
 /// Names under which one plug-in may count.
 const MAX_LABELS: usize = 32;
 /// Time between two ticks.
-pub const TICK_MS: Millis = 1000.0;
+pub const TICK_INTERVAL_MS: Millis = 1000.0;
 
 /// What the operator's file says of one plug-in.
 #[derive(Clone, Debug, PartialEq)]
@@ -140,7 +140,7 @@
 
 /// What a request is, for the view of it.
 #[derive(Clone, Debug)]
-pub struct About<'a> {
+pub struct RequestInfo<'a> {
     /// Its class, a place in the settings.
     pub class: usize,
     /// The object's name.
@@ -152,7 +152,7 @@
     /// The size.
     pub size_kb: Option<f64>,
     /// Time left.
-    pub left_ms: Millis,
+    pub time_left_ms: Millis,
     /// Its client marked it as a repeat.
     pub repeat: bool,
 }
@@ -209,7 +209,7 @@
     }
 
     /// The latest views, for trials of new versions.
-    pub fn recorded(&self) -> Vec<Vec<u8>> {
+    pub fn recorded_views(&self) -> Vec<Vec<u8>> {
         self.views.iter().cloned().collect()
     }
 
@@ -224,13 +224,18 @@
     }
 
     /// When [`Plugins::tick`] is due.
-    pub fn next_due(&self) -> Option<Millis> {
+    pub fn next_tick_at(&self) -> Option<Millis> {
         (!self.is_empty()).then_some(self.tick_at)
     }
 
     /// Asks each plug-in about a request. Strengths add up, ranks and limits take the lowest, a refusal of one
     /// is one of all.
-    pub fn request(&mut self, now: Millis, about: &About<'_>, watch: &Watch) -> Option<Box<Advice>> {
+    pub fn request(
+        &mut self,
+        now: Millis,
+        about: &RequestInfo<'_>,
+        watch: &MachineStats,
+    ) -> Option<Box<Advice>> {
         let classes = self.classes.clone();
         let class = classes.get(about.class)?;
         let fragile = class.repeat != Repeat::Retryable;
@@ -245,7 +250,7 @@
             piece: about.piece,
             group: about.group as u32,
             size_kb: about.size_kb.unwrap_or(0.0) as f32,
-            time_left_ms: about.left_ms.max(0.0) as u32,
+            time_left_ms: about.time_left_ms.max(0.0) as u32,
             now_ms: now as u64,
             machine: kit::NONE,
             ..kit::ViewHead::default()
@@ -253,23 +258,23 @@
         let mut view = std::mem::take(&mut self.buffer);
         view.clear();
         head.write(&machines, &mut view);
-        let mut merged: Option<Narrowed> = None;
+        let mut merged: Option<FilteredAdvice> = None;
         for at in 0..self.slots.len() {
             let Some(Some(bytes)) = self.call(now, at, Hook::Request, &view) else { continue };
             let slot = &mut self.slots[at];
             let may_refuse = slot.loaded.spec.may_refuse.contains(&class.name);
-            let allowed = Allowed {
+            let allowed = Permissions {
                 names: &names,
-                warm: &machines,
+                machines: &machines,
                 class,
                 limits: &self.limits,
                 may_refuse: may_refuse && !about.repeat,
             };
-            match advice_filter::narrow(&bytes, &allowed) {
+            match advice_filter::filter(&bytes, &allowed) {
                 Ok(narrowed) => {
-                    slot.breaker.good();
+                    slot.breaker.record_success();
                     slot.counts.advised += 1;
-                    slot.counts.narrowed += narrowed.left_out;
+                    slot.counts.narrowed += narrowed.restricted;
                     for label in &narrowed.labels {
                         if slot.counts.labels.len() < MAX_LABELS || slot.counts.labels.contains_key(label) {
                             *slot.counts.labels.entry(label.clone()).or_default() += 1;
@@ -283,7 +288,7 @@
                 Err(kit::Malformed) => self.fault(now, at, &Fault::Malformed),
             }
         }
-        if self.views.len() >= RECORDED {
+        if self.views.len() >= MAX_RECORDED_VIEWS {
             // The oldest one's room is used again.
             self.buffer = self.views.pop_front().unwrap_or_default();
         }
@@ -292,7 +297,13 @@
     }
 
     /// Tells each how an attempt ended.
-    pub fn outcome(&mut self, now: Millis, result: &AttemptResult, about: &About<'_>, watch: &Watch) {
+    pub fn outcome(
+        &mut self,
+        now: Millis,
+        result: &AttemptResult,
+        about: &RequestInfo<'_>,
+        watch: &MachineStats,
+    ) {
         if !self.slots.iter().any(|slot| slot.loaded.instance.has(Hook::Outcome)) {
             return;
         }
@@ -320,7 +331,7 @@
     }
 
     /// Tells each that the list of machines has changed.
-    pub fn machines(&mut self, now: Millis, watch: &Watch) {
+    pub fn machines(&mut self, now: Millis, watch: &MachineStats) {
         let head = kit::ViewHead { machine: kit::NONE, now_ms: now as u64, ..kit::ViewHead::default() };
         self.tell(now, Hook::Machines, &head, &watch.machines(now).0);
     }
@@ -330,7 +341,7 @@
         if now < self.tick_at {
             return;
         }
-        self.tick_at = now + TICK_MS;
+        self.tick_at = now + TICK_INTERVAL_MS;
         let head = kit::ViewHead { machine: kit::NONE, now_ms: now as u64, ..kit::ViewHead::default() };
         self.tell(now, Hook::Tick, &head, &[]);
     }
@@ -352,16 +363,16 @@
         let spec = &slot.loaded.spec;
         match slot.breaker.state(now) {
             State::Closed => {}
-            State::Paused | State::Out => {
+            State::Paused | State::Disabled => {
                 slot.counts.skipped += 1;
                 return None;
             }
-            State::Afresh => {
+            State::Restart => {
                 slot.counts.restarts += 1;
                 match Instance::new(&slot.loaded.program, spec) {
                     Ok(instance) => {
                         slot.loaded.instance = instance;
-                        slot.breaker.begun();
+                        slot.breaker.restarted();
                     }
                     Err(fault) => {
                         self.fault(now, at, &fault);
@@ -390,7 +401,7 @@
             Ok(said) => {
                 // Advice may yet turn out not to be readable.
                 if said.is_none() {
-                    slot.breaker.good();
+                    slot.breaker.record_success();
                 }
                 Some(said)
             }
@@ -406,7 +417,7 @@
         let slot = &mut self.slots[at];
         slot.counts.faults += 1;
         let name = &slot.loaded.spec.name;
-        match slot.breaker.failed(now) {
+        match slot.breaker.record_failure(now) {
             None => self.lines.push(format!("plug-in {name}: {fault}")),
             Some(f64::INFINITY) => {
                 self.lines.push(format!("plug-in {name} stays out until its file is read anew: {fault}"));
--- a/src/reducer/machines.rs
+++ b/src/reducer/machines.rs
@@ -57,7 +57,7 @@
                 if !machines.iter().any(|listed| listed.name == name.as_str()) {
                     (machine.phase, machine.updated_at) = (Phase::Deleted, now);
                     let listing = Listing { phase: Phase::Deleted, address: None, cold_until: None };
-                    self.machine_stats.gone(name);
+                    self.machine_stats.remove(name);
                     self.effects.push(Effect::SetListing { machine: name.clone(), listing: Some(listing) });
                     self.effects.push(Effect::Retire { machine: name.clone() });
                 }
@@ -105,7 +105,7 @@
                     self.effects.push(Effect::MachineRestarted { machine: name.clone(), at });
                 }
             }
-            self.machine_stats.list(&name, &listed.kind, &listed.zone, listed.phase, listed.weight, since);
+            self.machine_stats.update(&name, &listed.kind, &listed.zone, listed.phase, listed.weight, since);
             entries.push(ListEntry {
                 cache: name,
                 kind: listed.kind,
@@ -147,7 +147,7 @@
 
     /// Carries out an operator's call.
     pub(super) fn operator_call(&mut self, now: Millis, caller: u64, call: ops::Call) {
-        let verdict_of = |accepted| if accepted { ops::Verdict::Yes } else { ops::Verdict::No };
+        let verdict_of = |accepted| if accepted { ops::Verdict::Accepted } else { ops::Verdict::Rejected };
         let verdict = match call {
             ops::Call::Ready => verdict_of(self.ready()),
             ops::Call::Evacuate => {
@@ -155,17 +155,17 @@
                 if self.service.evacuating_since() == Some(now) {
                     self.set_timer(now + DRAINED_BY_MS, Timer::AuditDrain);
                 }
-                ops::Verdict::Yes
+                ops::Verdict::Accepted
             }
             ops::Call::Rejoin => verdict_of(self.service.rejoin()),
             ops::Call::Telemetry => {
                 let telemetry = Box::new(self.telemetry());
                 return self.effects.push(Effect::SendTelemetry { caller, telemetry });
             }
-            ops::Call::Fleet => ops::Verdict::No, // Answered before it reaches the reducer.
-            ops::Call::Exclude(name) if !self.is_listed(&name) => ops::Verdict::Unknown,
+            ops::Call::Fleet => ops::Verdict::Rejected, // Answered before it reaches the reducer.
+            ops::Call::Exclude(name) if !self.is_listed(&name) => ops::Verdict::UnknownMachine,
             ops::Call::Include(name) if !self.is_listed(&name) && !self.exclusions.contains(&name) => {
-                ops::Verdict::Unknown
+                ops::Verdict::UnknownMachine
             }
             // A change takes effect once it is saved. It is saved even if nothing changes here, as another
             // process may have changed it.
@@ -189,7 +189,7 @@
         let verdict = match result {
             Ok(excluded) => {
                 self.apply_exclusions(now, excluded);
-                ops::Verdict::Yes
+                ops::Verdict::Accepted
             }
             Err(verdict) => verdict,
         };
--- a/src/reducer/mod.rs
+++ b/src/reducer/mod.rs
@@ -17,7 +17,7 @@
 use crate::counters::Counters;
 use crate::discovery::{Announcement, DiscoveryEvent, ListedMachine};
 use crate::ops;
-use crate::plugins::{About, Loaded, Plugins, Watch};
+use crate::plugins::{Loaded, MachineStats, Plugins, RequestInfo};
 use crate::service::{Exclusions, Service, DRAINED_BY_MS};
 use crate::Router;
 pub use gate::Permit;
@@ -192,7 +192,7 @@
     /// Plug-ins, if the operator's file names any.
     plugins: Option<Box<Plugins>>,
     /// Per-machine figures that plug-ins are shown.
-    machine_stats: Watch,
+    machine_stats: MachineStats,
     /// Ended requests by class and disposition.
     results: ops::Results,
     /// Counters since the start.
@@ -208,7 +208,7 @@
             classes: classes.map(|(at, class)| (class.name.clone(), (at, fragile(class)))).collect(),
             policy: Router::new(settings.clone(), seed, now),
             plugins: None,
-            machine_stats: Watch::new(&settings),
+            machine_stats: MachineStats::new(&settings),
             settings,
             network: net,
             wall_clock: WallClock::new(now, unix),
@@ -304,7 +304,7 @@
     /// Returns when [`Input::TimersDue`] is needed next.
     pub fn next_deadline(&self) -> Option<Millis> {
         let next_timer = self.timers.keys().next().map(|(at, _)| *at as f64 / 1000.0);
-        let plugin_tick = self.plugins.as_ref().and_then(|plugins| plugins.next_due());
+        let plugin_tick = self.plugins.as_ref().and_then(|plugins| plugins.next_tick_at());
         [next_timer, plugin_tick].into_iter().flatten().reduce(f64::min)
     }
 
--- a/src/reducer/requests.rs
+++ b/src/reducer/requests.rs
@@ -4,15 +4,15 @@
 use super::*;
 use crate::reasons::{AttemptCause, Refusal};
 
-/// Describes a request for the plug-ins. `left_ms` is the time until the answer deadline.
-fn about(request: &IncomingRequest, class: usize, left_ms: Millis) -> About<'_> {
-    About {
+/// Describes a request for the plug-ins. `time_left_ms` is the time until the answer deadline.
+fn about(request: &IncomingRequest, class: usize, time_left_ms: Millis) -> RequestInfo<'_> {
+    RequestInfo {
         class,
         object: request.object.as_deref(),
         piece: request.piece.unwrap_or(0),
         group: request.group,
         size_kb: request.size_kb,
-        left_ms,
+        time_left_ms,
         repeat: request.repeat,
     }
 }
@@ -253,7 +253,7 @@
             OutgoingRequest { request, fetch, exclusive_connection: fragile, send_by, cause },
         );
         if self.plugins.is_some() {
-            self.machine_stats.sent(&machine);
+            self.machine_stats.attempt_started(&machine);
         }
         match self.attempts.get_mut(&key).filter(|_| separated_until > now) {
             Some(attempt) => {
@@ -342,7 +342,7 @@
                 .and_then(|answer| self.size_kb(answer.body.len())),
         };
         if let Some(plugins) = &mut self.plugins {
-            self.machine_stats.ended(now, &result.cache, &result.report);
+            self.machine_stats.attempt_ended(now, &result.cache, &result.report);
             if let Some(pending) = self.pending.get(&attempt.request_key) {
                 let class = self.classes.get(&pending.request.class).map_or(0, |class| class.0);
                 plugins.outcome(now, &result, &about(&pending.request, class, 0.0), &self.machine_stats);
--- a/src/runtime/fleet.rs
+++ b/src/runtime/fleet.rs
@@ -124,11 +124,11 @@
     }
 
     /// Returns the fleet figures for telemetry, if this process is active.
-    pub(super) fn telemetry(&self) -> Option<crate::ops::FleetFigures> {
+    pub(super) fn telemetry(&self) -> Option<crate::ops::FleetStats> {
         let fleet = &self.active.as_ref()?.fleet;
         let counts = fleet.counts();
-        Some(crate::ops::FleetFigures {
-            standing: fleet.quorum_status(boot_ms()).0.as_str(),
+        Some(crate::ops::FleetStats {
+            quorum_status: fleet.quorum_status(boot_ms()).0.as_str(),
             states: fleet.count_by_state().to_vec(),
             datagrams: [counts.sent, counts.accepted, counts.rejected.values().sum(), self.unsent],
         })
@@ -236,6 +236,6 @@
 
     /// Returns the HTTP response with the membership view, for an operator.
     pub(super) fn fleet_response(&self) -> Vec<u8> {
-        crate::ops::fleet(self.fleet_member.as_ref().map(Member::view))
+        crate::ops::fleet_answer(self.fleet_member.as_ref().map(Member::view))
     }
 }
--- a/src/runtime/handover.rs
+++ b/src/runtime/handover.rs
@@ -4,8 +4,8 @@
 use super::Runtime;
 use crate::api::Millis;
 use crate::clock::{boot_id, BootTime};
-use crate::handover::store::{Folder, Store, Unchanged};
-use crate::handover::{Now, MAX_FILE};
+use crate::handover::store::{ChangeError, Folder, Store};
+use crate::handover::{ClockReading, MAX_FILE_BYTES};
 use crate::log_line;
 use crate::ops::Verdict;
 use crate::reducer::Input;
@@ -118,25 +118,27 @@
 
     fn read(&self) -> io::Result<Option<Vec<u8>>> {
         let mut bytes = Vec::new();
-        match File::open(&self.path).and_then(|file| file.take(MAX_FILE as u64 + 1).read_to_end(&mut bytes)) {
+        match File::open(&self.path)
+            .and_then(|file| file.take(MAX_FILE_BYTES as u64 + 1).read_to_end(&mut bytes))
+        {
             Ok(_) => Ok(Some(bytes)),
             Err(e) if e.kind() == ErrorKind::NotFound => Ok(None),
             Err(e) => Err(e),
         }
     }
 
-    fn write_beside(&mut self, bytes: &[u8]) -> io::Result<()> {
+    fn write_temporary(&mut self, bytes: &[u8]) -> io::Result<()> {
         let mut file = File::create(&self.part)?;
         file.write_all(bytes)?;
         self.written = Some(file);
         Ok(())
     }
 
-    fn sync_beside(&mut self) -> io::Result<()> {
+    fn sync_temporary(&mut self) -> io::Result<()> {
         self.written.take().map_or(Ok(()), |file| file.sync_all())
     }
 
-    fn put_in_place(&mut self) -> io::Result<()> {
+    fn replace_file(&mut self) -> io::Result<()> {
         fs::rename(&self.part, &self.path)
     }
 
@@ -151,7 +153,7 @@
         is_locked(&self.alive_path(process))
     }
 
-    fn others_run(&self) -> bool {
+    fn other_process_runs(&self) -> bool {
         let files = self.other_alive_files();
         files.map_or(true, |files| files.iter().any(|path| is_locked(path) == Some(true)))
     }
@@ -181,7 +183,7 @@
         let name: String =
             listen.chars().map(|char| if char.is_ascii_alphanumeric() { char } else { '-' }).collect();
         let path = std::env::temp_dir().join(format!("frostturn-{name}.state"));
-        let now = Now::read();
+        let now = ClockReading::read();
         let unique = format!("{seed} {} {}", std::process::id(), now.boot.0);
         let process = XxHash64::oneshot(0, unique.as_bytes());
         Self {
@@ -192,17 +194,17 @@
 
     /// Returns whether another running process has taken over from this one, which is shutting down.
     pub(super) fn succeeded(&self) -> bool {
-        self.store.is_succeeded(BootTime::now())
+        self.store.has_successor(BootTime::now())
     }
 
     /// Returns whether a change that was confirmed to an operator is not saved in the file.
     pub(super) fn has_unsaved_changes(&self) -> bool {
-        self.store.owes()
+        self.store.has_unsaved_changes()
     }
 
     /// Returns the time until the file must be checked again, in milliseconds.
     pub(super) fn ms_until_due(&self) -> Millis {
-        self.store.due().since(BootTime::now()).max(0.0)
+        self.store.next_save_at().since(BootTime::now()).max(0.0)
     }
 }
 
@@ -214,7 +216,7 @@
         let Some(handover) = &mut self.handover else { return };
         let reducer = &self.reducer;
         handover.store.folder_mut().lock_alive_file();
-        handover.store.upkeep(Now::read(), ends, |name| reducer.is_listed(name));
+        handover.store.maintain(ClockReading::read(), ends, |name| reducer.is_listed(name));
         self.apply_shared_state();
     }
 
@@ -225,7 +227,7 @@
         if excluded.differing(self.reducer.excluded()).next().is_some() {
             self.inbox.push(Input::ExclusionsLoaded { excluded: excluded.clone() });
         }
-        let share = handover.store.cold_part(BootTime::now());
+        let share = handover.store.cold_share(BootTime::now());
         if std::mem::replace(&mut handover.cold_share, share) != share {
             self.inbox.push(Input::ColdStartShare(share));
         }
@@ -235,18 +237,18 @@
     pub(super) fn change_state(&mut self, caller: u64, name: &str, out: bool) {
         let ends = self.reducer.is_terminating();
         let Some(handover) = &mut self.handover else { return };
-        let result = match handover.store.call(Now::read(), ends, name, out) {
+        let result = match handover.store.set_excluded(ClockReading::read(), ends, name, out) {
             Ok(()) => Ok(handover.store.state().excluded().clone()),
-            Err(Unchanged::TooMany(_)) => Err(Verdict::TooMany),
-            Err(Unchanged::Unknowing) => {
+            Err(ChangeError::TooManyExcluded(_)) => Err(Verdict::TooManyExcluded),
+            Err(ChangeError::StateUnknown) => {
                 log_line!(
                     "change of {name} rejected: unusable state file, and another process has earlier changes"
                 );
-                Err(Verdict::Unsaved)
+                Err(Verdict::NotSaved)
             }
-            Err(Unchanged::Unsaved(e)) => {
+            Err(ChangeError::NotSaved(e)) => {
                 log_line!("change of {name} rejected: can't be saved: {e}");
-                Err(Verdict::Unsaved)
+                Err(Verdict::NotSaved)
             }
         };
         self.handle_input(Input::ExclusionSaved { caller, result });
@@ -255,8 +257,8 @@
     /// Removes this process from the shared state at exit, so that the remaining processes have the whole
     /// cold budget.
     pub(super) fn release_state(&mut self) {
-        let saved = self.handover.as_mut().map(|handover| handover.store.leave(Now::read()));
-        if let Some(Err(Unchanged::Unsaved(e))) = saved {
+        let saved = self.handover.as_mut().map(|handover| handover.store.leave_router(ClockReading::read()));
+        if let Some(Err(ChangeError::NotSaved(e))) = saved {
             log_line!("the exit of this process can't be saved: {e}");
         }
     }
--- a/src/runtime/mod.rs
+++ b/src/runtime/mod.rs
@@ -22,9 +22,9 @@
 use crate::errno;
 use crate::front::Conn;
 use crate::log_line;
-use crate::operator::Operator;
+use crate::operator::OperatorConfig;
 use crate::ops;
-use crate::ops::control::Place;
+use crate::ops::control::OpsAddress;
 use crate::reasons::{ClientClose, EndpointClose};
 use crate::reducer::{Effect, Input, Reducer, Reply};
 use calloop::signals::{Signal, Signals};
@@ -212,7 +212,7 @@
     let local_address = listener.local_addr().map_err(io("listen"))?;
     let token = retry_transient(|| register(&handle, listener.clone(), Source::Listener, Interest::READ));
     let token = token.map_err(io("listen"))?;
-    let places = config.ops.map(Place::Tcp).into_iter().chain(operator.ops_socket.map(Place::Unix));
+    let places = config.ops.map(OpsAddress::Tcp).into_iter().chain(operator.ops_socket.map(OpsAddress::Unix));
     let mut operator_listeners = Vec::new();
     for place in places {
         let action = format!("listen for operators at {place}");
@@ -277,7 +277,7 @@
     };
     let unix = UnixTime::now();
     state.inbox.extend(config.known_events.into_iter().map(|notice| Input::DiscoveryEvent { notice, unix }));
-    state.view_record_path = operator.record;
+    state.view_record_path = operator.view_record_path;
     state.load_plugins(operator.plugins);
     state.sync_state();
     state.process_inputs();
@@ -343,7 +343,7 @@
 }
 
 /// Reads the configuration and the operator's file at startup, retrying temporary errors.
-fn load_with_retry(sources: &Sources) -> Result<(Config, Operator), String> {
+fn load_with_retry(sources: &Sources) -> Result<(Config, OperatorConfig), String> {
     let deadline = Instant::now() + START_RETRY_TIMEOUT;
     loop {
         match sources.load() {
@@ -606,7 +606,7 @@
             }
             Effect::SendTelemetry { caller, mut telemetry } => {
                 telemetry.fleet = self.fleet_member.as_ref().and_then(fleet::Member::telemetry);
-                self.answer_caller(caller, ops::report(&telemetry));
+                self.answer_caller(caller, ops::telemetry_answer(&telemetry));
             }
             Effect::Log(text) => log_line!("{text}"),
             Effect::StopListening => self.stop_listening(),
@@ -641,7 +641,7 @@
         self.reducer.set_net(config.net);
         self.links.set_max_connections(self.reducer.max_endpoint_connections());
         self.links.set_address_settings(operator.addresses);
-        self.view_record_path = operator.record;
+        self.view_record_path = operator.view_record_path;
         self.load_plugins(operator.plugins);
         if operator.fleet.as_ref() != self.fleet_member.as_ref().map(fleet::Member::settings) {
             log_line!(always; "changes of (fleet …) take effect after a restart");
--- a/src/runtime/operators.rs
+++ b/src/runtime/operators.rs
@@ -5,8 +5,8 @@
 use super::{Runtime, Source};
 use crate::errno::{self, ErrorClass};
 use crate::log_line;
-use crate::ops::control::Place;
-use crate::ops::{self, MAX_CALLERS, WHOLE_MS};
+use crate::ops::control::OpsAddress;
+use crate::ops::{self, CALL_TIMEOUT_MS, MAX_CALLERS};
 use crate::reducer::Input;
 use calloop::{Interest, LoopHandle};
 use socket2::{Domain, SockAddr, Socket, Type};
@@ -81,7 +81,7 @@
         let Some(caller) = self.callers.get_mut(&key) else { return };
         let mut complete = None;
         while caller.socket.readable && (!caller.received || caller.lingers) {
-            match caller.socket.read(&mut self.buffer[..ops::MAX_CALL]) {
+            match caller.socket.read(&mut self.buffer[..ops::MAX_CALL_BYTES]) {
                 Ok(_) if caller.lingers => continue,
                 Ok(bytes) => caller.input.extend_from_slice(&self.buffer[..bytes]),
                 Err(IoStatus::Closed | IoStatus::Broken) => return self.close_caller(key),
@@ -145,7 +145,8 @@
 
     /// Closes connections on which no call has been completed in time.
     pub(super) fn sweep_callers(&mut self, now: f64) {
-        let expired = self.callers.iter().filter(|(_, caller)| now - caller.accepted_at > 2.0 * WHOLE_MS);
+        let expired =
+            self.callers.iter().filter(|(_, caller)| now - caller.accepted_at > 2.0 * CALL_TIMEOUT_MS);
         let expired: Vec<u64> = expired.map(|(key, _)| *key).collect();
         expired.into_iter().for_each(|key| self.close_caller(key));
     }
@@ -168,7 +169,7 @@
 /// A listening socket of the operators' interface.
 pub(super) struct OperatorListener {
     listener: Rc<Socket>,
-    address: Place,
+    address: OpsAddress,
     /// The inode of the Unix socket's file, as another process may have replaced the file since.
     inode: Option<u64>,
 }
@@ -176,14 +177,14 @@
 impl OperatorListener {
     /// Starts listening. A Unix socket is accessible to this user only, and atomically replaces the file of
     /// an earlier process, so that a caller finds either the old or the new one.
-    pub(super) fn listen(handle: &LoopHandle<'static, Runtime>, address: Place) -> io::Result<Self> {
+    pub(super) fn listen(handle: &LoopHandle<'static, Runtime>, address: OpsAddress) -> io::Result<Self> {
         let (listener, address, inode) = match address {
-            Place::Tcp(address) => {
+            OpsAddress::Tcp(address) => {
                 let listener = listen(address)?;
-                let address = Place::Tcp(listener.local_addr()?);
+                let address = OpsAddress::Tcp(listener.local_addr()?);
                 (Rc::new(Socket::from(listener)), address, None)
             }
-            Place::Unix(path) => {
+            OpsAddress::Unix(path) => {
                 let mut part = path.clone().into_os_string();
                 part.push(format!(".{}", std::process::id()));
                 let _ = fs::remove_file(&part); // It may be left from a process that had the same id.
@@ -194,7 +195,7 @@
                 listener.listen(MAX_CALLERS as i32)?;
                 let inode = fs::metadata(&part)?.ino();
                 fs::rename(&part, &path)?;
-                (Rc::new(listener), Place::Unix(path), Some(inode))
+                (Rc::new(listener), OpsAddress::Unix(path), Some(inode))
             }
         };
         register(handle, listener.clone(), Source::Callers, Interest::READ)?;
@@ -205,7 +206,7 @@
 impl Drop for OperatorListener {
     /// Removes the Unix socket's file, if it still belongs to this process.
     fn drop(&mut self) {
-        if let Place::Unix(path) = &self.address {
+        if let OpsAddress::Unix(path) = &self.address {
             if fs::metadata(path).is_ok_and(|found| Some(found.ino()) == self.inode) {
                 let _ = fs::remove_file(path); // It may have been replaced or removed just now.
             }
--- a/src/runtime/plugins.rs
+++ b/src/runtime/plugins.rs
@@ -3,7 +3,7 @@
 
 use super::Runtime;
 use crate::log_line;
-use crate::plugins::engine::MAX_PROGRAM;
+use crate::plugins::engine::MAX_PROGRAM_BYTES;
 use crate::plugins::{Loaded, Spec};
 use calloop::channel::{self, Event, Sender};
 use std::fmt::Write;
@@ -28,9 +28,9 @@
     let file = std::fs::File::open(path).map_err(|e| format!("{name}: {e}"))?;
     let before = file.metadata().and_then(|data| data.modified());
     let mut bytes = Vec::new();
-    (&file).take(MAX_PROGRAM as u64 + 1).read_to_end(&mut bytes).map_err(|e| format!("{name}: {e}"))?;
-    if bytes.len() > MAX_PROGRAM {
-        return Err(format!("{name}: more than {MAX_PROGRAM} bytes"));
+    (&file).take(MAX_PROGRAM_BYTES as u64 + 1).read_to_end(&mut bytes).map_err(|e| format!("{name}: {e}"))?;
+    if bytes.len() > MAX_PROGRAM_BYTES {
+        return Err(format!("{name}: more than {MAX_PROGRAM_BYTES} bytes"));
     }
     // A file that is written meanwhile may be read half old and half new.
     let after = file.metadata().and_then(|data| data.modified());
@@ -61,7 +61,7 @@
             return self.reducer.set_plugins(now, &[], Vec::new());
         }
         let Some(sender) = self.plugin_sender() else { return };
-        let views = self.reducer.plugins().map_or(Vec::new(), |plugins| plugins.recorded());
+        let views = self.reducer.plugins().map_or(Vec::new(), |plugins| plugins.recorded_views());
         let load_number = self.plugin_load;
         std::thread::spawn(move || {
             let order = specs.iter().map(|spec| spec.name.clone()).collect();
@@ -81,7 +81,7 @@
     pub(super) fn write_views(&self) {
         let (Some(path), Some(plugins)) = (&self.view_record_path, self.reducer.plugins()) else { return };
         let mut text = String::new();
-        for view in plugins.recorded() {
+        for view in plugins.recorded_views() {
             view.iter().for_each(|byte| {
                 let _ = write!(text, "{byte:02x}");
             });
--- a/tests/model.rs
+++ b/tests/model.rs
@@ -4,14 +4,14 @@
 //! `runtime::handover`. Each property is also shown to fail if one of these steps is left out.
 
 use frostturn::clock::{BootTime, UnixTime};
-use frostturn::handover::{Now, State};
+use frostturn::handover::{ClockReading, State};
 use frostturn::service::Service;
 use stateright::{Checker, HasDiscoveries, Model, Property};
 use std::collections::BTreeSet;
 
 const LISTEN: &str = "127.0.0.1:7";
 const BOOT: &str = "this boot";
-const NOW: Now = Now { boot: BootTime(1e9), unix: UnixTime(1e12) };
+const NOW: ClockReading = ClockReading { boot: BootTime(1e9), unix: UnixTime(1e12) };
 const NAMES: [&str; 2] = ["s-1", "s-2"];
 
 /// A step that is left out or out of order.
@@ -96,7 +96,7 @@
 }
 
 fn excluded_in(file: &[u8]) -> Option<BTreeSet<usize>> {
-    let state = State::read(file, LISTEN, BOOT, NOW).ok()?;
+    let state = State::decode(file, LISTEN, BOOT, NOW).ok()?;
     Some((0..NAMES.len()).filter(|at| state.excluded().contains(NAMES[*at])).collect())
 }
 
@@ -113,12 +113,12 @@
                 Step::Locked
             }
             Step::Locked => {
-                let mut state = State::read(&world.file, LISTEN, BOOT, NOW).ok()?;
-                state.call(at as u64, terminating, NAMES[job.name], job.excluded, NOW.boot).ok()?;
+                let mut state = State::decode(&world.file, LISTEN, BOOT, NOW).ok()?;
+                state.set_excluded(at as u64, terminating, NAMES[job.name], job.excluded, NOW.boot).ok()?;
                 if self.fault == Fault::ConfirmsBeforeWriting {
                     self.confirm(world, at, &job);
                 }
-                Step::Changed(state.write(NOW)?)
+                Step::Changed(state.encode(NOW)?)
             }
             Step::Changed(bytes) => {
                 world.file = bytes;
@@ -167,10 +167,10 @@
 
     fn init_states(&self) -> Vec<World> {
         let mut state = State::new(LISTEN, BOOT);
-        state.say(0, false, NOW.boot);
+        state.record_process(0, false, NOW.boot);
         let process = |phase| Process { phase, excluded: BTreeSet::new(), job: None };
         vec![World {
-            file: state.write(NOW).expect("small"),
+            file: state.encode(NOW).expect("small"),
             lock: None,
             processes: [process(Phase::Serving), process(Phase::Absent)],
             confirmed: BTreeSet::new(),
--- a/tests/operator.rs
+++ b/tests/operator.rs
@@ -1,11 +1,11 @@
 //! The operator's file: what is good, what is refused and where, and that no bytes upset the reader.
 
 use frostturn::addresses::{Endpoint, Family};
-use frostturn::operator::Operator;
+use frostturn::operator::OperatorConfig;
 use quickcheck::{Gen, QuickCheck};
 
 fn faults(text: &str) -> Vec<String> {
-    match Operator::read(text.as_bytes()) {
+    match OperatorConfig::read(text.as_bytes()) {
         Ok(_) => Vec::new(),
         Err(faults) => faults.0.iter().map(ToString::to_string).collect(),
     }
@@ -14,7 +14,7 @@
 #[test]
 fn the_annotated_example_is_good_and_says_what_it_seems_to() {
     let text = include_bytes!("../deploy/operator.example.scm");
-    let operator = Operator::read(text).expect("good");
+    let operator = OperatorConfig::read(text).expect("good");
     let plugins: Vec<(&str, usize)> =
         operator.plugins.iter().map(|spec| (spec.name.as_str(), spec.may_refuse.len())).collect();
     assert_eq!(plugins, [("photos", 0), ("full", 1)]);
@@ -24,7 +24,11 @@
     assert_eq!((rules.attempt_delay_ms, rules.pause_ms), ((20.0, 80.0), (250.0, 30_000.0)));
     let ways = &rules.machines["s-00c41f7a"];
     assert_eq!(ways.iter().map(Endpoint::family).collect::<Vec<_>>(), rules.family_order);
-    assert_eq!(Operator::read(b"(frostturn)"), Ok(Operator::default()), "nothing is on by itself");
+    assert_eq!(
+        OperatorConfig::read(b"(frostturn)"),
+        Ok(OperatorConfig::default()),
+        "nothing is on by itself"
+    );
 }
 
 #[test]
@@ -125,7 +129,7 @@
 #[test]
 fn no_bytes_make_the_reader_panic_hang_or_nest_without_bound() {
     fn bytes(bytes: Vec<u8>) -> bool {
-        let _ = Operator::read(&bytes);
+        let _ = OperatorConfig::read(&bytes);
         true
     }
     fn pieces(which: Vec<u8>) -> bool {
@@ -148,8 +152,8 @@
             "\n",
         ];
         let text: String = which.iter().map(|at| PIECES[usize::from(*at) % PIECES.len()]).collect();
-        let _ = Operator::read(text.as_bytes());
-        let _ = Operator::read(format!("(frostturn (addresses {text}))").as_bytes());
+        let _ = OperatorConfig::read(text.as_bytes());
+        let _ = OperatorConfig::read(format!("(frostturn (addresses {text}))").as_bytes());
         true
     }
     let check = || QuickCheck::new().rng(Gen::from_size_and_seed(200, 3)).tests(2000);
@@ -157,6 +161,6 @@
     check().quickcheck(pieces as fn(Vec<u8>) -> bool);
     for deep in ["(".repeat(100_000), format!("{}{}", "(a ".repeat(60), ")".repeat(60)), "'".repeat(100_000)]
     {
-        assert!(Operator::read(deep.as_bytes()).is_err());
+        assert!(OperatorConfig::read(deep.as_bytes()).is_err());
     }
 }
--- a/tests/ops.rs
+++ b/tests/ops.rs
@@ -6,7 +6,7 @@
 use frostturn::api::Phase;
 use frostturn::clock::{BootTime, UnixTime};
 use frostturn::discovery::{Announcement, DiscoveryEvent};
-use frostturn::handover::{Now, State};
+use frostturn::handover::{ClockReading, State};
 use frostturn::ops::{Call, Verdict};
 use frostturn::reducer::{Effect, IncomingRequest, Input, Reducer, RequestKey};
 use quickcheck::{Arbitrary, Gen, QuickCheck};
@@ -16,7 +16,7 @@
 const LISTEN: &str = "127.0.0.1:7";
 const UNIX_MS: f64 = 1e12;
 const BOOT: &str = "this boot";
-const NOW: Now = Now { boot: BootTime(1e9), unix: UnixTime(UNIX_MS) };
+const NOW: ClockReading = ClockReading { boot: BootTime(1e9), unix: UnixTime(UNIX_MS) };
 
 fn kind(name: &str) -> &'static str {
     if name == "o0" {
@@ -100,7 +100,7 @@
 
     /// As the daemon does: a file that can't be used is as if there were none.
     fn look(&mut self, now: f64, file: &[u8]) -> Vec<Effect> {
-        self.saved = State::read(file, LISTEN, BOOT, NOW).unwrap_or_else(|_| self.saved.clone());
+        self.saved = State::decode(file, LISTEN, BOOT, NOW).unwrap_or_else(|_| self.saved.clone());
         let excluded = self.saved.excluded().clone();
         self.heeds = excluded.names().map(str::to_owned).collect();
         self.step(now, Input::ExclusionsLoaded { excluded })
@@ -151,16 +151,16 @@
                     let change = Effect::SaveExclusion { caller: 1, name: name.into(), excluded: out };
                     assert_eq!(effects.contains(&change), may, "a name that the board doesn't know is a no");
                     if !may {
-                        assert_eq!(verdicts(&effects), [Verdict::Unknown]);
+                        assert_eq!(verdicts(&effects), [Verdict::UnknownMachine]);
                         continue;
                     }
                     assert_eq!(verdicts(&effects), [], "no word before it is saved");
                     let result = if fate == Fate::CannotBeSaved {
-                        Err(Verdict::Unsaved)
+                        Err(Verdict::NotSaved)
                     } else {
                         let mut state = process.saved.clone();
-                        assert_eq!(state.call(u64::from(second), false, name, out, NOW.boot), Ok(()));
-                        file = state.write(NOW).expect("small");
+                        assert_eq!(state.set_excluded(u64::from(second), false, name, out, NOW.boot), Ok(()));
+                        file = state.encode(NOW).expect("small");
                         Ok(state.excluded().clone())
                     };
                     if fate == Fate::Dies {
@@ -181,9 +181,9 @@
                     let before = process.reducer.excluded().clone();
                     let answer = Input::ExclusionSaved { caller: 1, result: result.clone() };
                     effects.extend(process.step(now, answer));
-                    let verdict = result.map_or_else(|why| why, |_| Verdict::Yes);
+                    let verdict = result.map_or_else(|why| why, |_| Verdict::Accepted);
                     assert_eq!(verdicts(&effects), [verdict], "one word to a call");
-                    if verdict != Verdict::Yes {
+                    if verdict != Verdict::Accepted {
                         assert_eq!(process.reducer.excluded(), &before, "nothing half done stays");
                     }
                     effects
--- a/tests/plugins.rs
+++ b/tests/plugins.rs
@@ -6,7 +6,7 @@
 use frostturn::api::{CacheId, ClassSettings, Limits, Phase, Repeat, Retention, Settings};
 use frostturn::clock::UnixTime;
 use frostturn::discovery::{Announcement, DiscoveryEvent, ListedMachine};
-use frostturn::plugins::advice_filter::{self, Allowed};
+use frostturn::plugins::advice_filter::{self, Permissions};
 use frostturn::plugins::engine::{Fault, Hook, Instance};
 use frostturn::plugins::{Loaded, Spec};
 use frostturn::reducer::{
@@ -62,7 +62,7 @@
     assert_eq!(advice_of(&mut photos, &view(&turned, head)), ["Favour { machine: 0, strength: 60 }"]);
     assert!(advice_of(&mut photos, &view(&turned, ViewHead { group: 11, ..head })).is_empty());
     assert!(advice_of(&mut photos, &view(&turned[1..], head)).is_empty(), "it is gone");
-    assert!(matches!(Instance::new(PHOTOS.as_bytes(), &spec(&[])), Err(Fault::Refused(1))));
+    assert!(matches!(Instance::new(PHOTOS.as_bytes(), &spec(&[])), Err(Fault::InitFailed(1))));
 }
 
 #[test]
@@ -201,9 +201,9 @@
             max_retry_after_ms: 3000.0,
             ..Limits::default()
         };
-        let (names, warm, may_refuse) = (&names[..], &machines[..], kind & 16 != 0);
-        let allowed = Allowed { names, warm, class: &class, limits: &limits, may_refuse };
-        let both = [&one, &other].map(|said| advice_filter::narrow(&said.0, &allowed).unwrap_or_default());
+        let (names, machines, may_refuse) = (&names[..], &machines[..], kind & 16 != 0);
+        let allowed = Permissions { names, machines, class: &class, limits: &limits, may_refuse };
+        let both = [&one, &other].map(|said| advice_filter::filter(&said.0, &allowed).unwrap_or_default());
         let [one, other] = both;
         let narrowed = one.merge(other);
         let advice = &narrowed.advice;
@@ -431,7 +431,7 @@
         rig.end_all(&done());
         rig.now += 50.0;
     }
-    let views = rig.reducer.plugins().expect("there").recorded();
+    let views = rig.reducer.plugins().expect("there").recorded_views();
     assert_eq!(views.len(), 20);
     let load = |text: String| Loaded::new(Spec::new("one", PathBuf::new()), text.as_bytes().into());
     // Traps on the views of objects over 10 alone.
