--- a/crates/frostturn-lab/src/lib.rs
+++ b/crates/frostturn-lab/src/lib.rs
@@ -2,10 +2,10 @@
 
 #![forbid(unsafe_code)]
 
-pub mod board;
 pub mod check;
 pub mod clients;
 pub mod daemon;
+pub mod discovery;
 pub mod fleet;
 pub mod hostile;
 pub mod loopback;
--- a/crates/frostturn-lab/src/site.rs
+++ b/crates/frostturn-lab/src/site.rs
@@ -1,9 +1,9 @@
 //! A small site: boxes with several ways each, a parent and the origin, the board, and the operator's file.
 
-use crate::board::{Board, Told};
 use crate::check::{Budget, Millis, Verdict};
 use crate::clients::Load;
 use crate::daemon::{Daemon, Start};
+use crate::discovery::{Board, Told};
 use crate::machines::{Machine, Place, LANES};
 use crate::report::Report;
 use crate::shims::Shims;
