--- a/crates/frostturn-lab/src/check.rs
+++ b/crates/frostturn-lab/src/check.rs
@@ -1,4 +1,4 @@
-//! The rules, checked from outside: what clients sent and got, what arrived at machines, what the board told.
+//! The rules, checked from outside: what clients sent and got, what arrived at machines, what the discovery told.
 //!
 //! Pure: events go in with their times, a verdict comes out. Nothing is taken from the router's own counters.
 
@@ -63,11 +63,11 @@
 }
 
 #[derive(Debug)]
-struct Asked {
+struct Request {
     most: u64,
     object: u64,
     sent: Millis,
-    patience: Millis,
+    client_timeout: Millis,
     answers: Vec<(Millis, Answer)>,
     arrivals: u64,
     /// It crossed the router's close of its connection.
@@ -75,7 +75,7 @@
 }
 
 #[derive(Debug)]
-struct Cold {
+struct ColdStart {
     since: Millis,
     until: Millis,
     budget: Budget,
@@ -94,9 +94,9 @@
 /// Gathers what happens.
 #[derive(Debug, Default)]
 pub struct Checker {
-    asked: HashMap<u64, Asked>,
+    requests: HashMap<u64, Request>,
     drained: BTreeMap<usize, Millis>,
-    cold: Vec<(usize, Cold)>,
+    cold: Vec<(usize, ColdStart)>,
     purges: HashMap<u64, Vec<(Millis, f64)>>,
     rules: Rules,
     examples: Vec<String>,
@@ -107,27 +107,27 @@
 impl Checker {
     /// Answers may be so much later than usual before they count as none: the operators' half second, where what is
     /// judged is whether there is an answer.
-    pub fn grant(&mut self, grace_ms: Millis) {
+    pub fn set_grace(&mut self, grace_ms: Millis) {
         self.grace_ms = grace_ms;
     }
 
     /// A request crossed the router's close of its connection: its client would send it again. It must not have been
     /// sent on, as nobody has heard of its end.
     pub fn crossed(&mut self, id: u64) {
-        self.asked.entry(id).and_modify(|asked| asked.crossed = true);
+        self.requests.entry(id).and_modify(|asked| asked.crossed = true);
     }
 
     /// A client has sent a request whole, and waits so long. Its class allows `most` attempts that may run.
-    pub fn asked(&mut self, id: u64, most: u64, object: u64, sent: Millis, patience: Millis) {
-        self.asked.insert(
+    pub fn request_sent(&mut self, id: u64, most: u64, object: u64, sent: Millis, client_timeout: Millis) {
+        self.requests.insert(
             id,
-            Asked { most, object, sent, patience, answers: Vec::new(), arrivals: 0, crossed: false },
+            Request { most, object, sent, client_timeout, answers: Vec::new(), arrivals: 0, crossed: false },
         );
     }
 
     /// A client has a whole answer.
     pub fn answered(&mut self, id: u64, at: Millis, answer: Answer) {
-        let Some(asked) = self.asked.get_mut(&id) else { return };
+        let Some(asked) = self.requests.get_mut(&id) else { return };
         asked.answers.push((at, answer));
         let Answer::Served { stamp_ms } = answer else { return };
         let purged = self.purges.get(&asked.object).into_iter().flatten();
@@ -146,24 +146,24 @@
     /// A request was at a router that was killed or stopped under it, so that nobody could answer it in time: whether it
     /// was answered doesn't count. That it ran twice still does.
     pub fn excuse(&mut self, id: u64) {
-        self.asked.remove(&id);
+        self.requests.remove(&id);
     }
 
     /// When a request was sent.
-    pub fn sent(&self, id: u64) -> Option<Millis> {
-        self.asked.get(&id).map(|asked| asked.sent)
+    pub fn sent_at(&self, id: u64) -> Option<Millis> {
+        self.requests.get(&id).map(|asked| asked.sent)
     }
 
     /// A request has arrived whole at a machine, where it may have run. `begun` is when its first byte came. True
     /// if it had come to some machine before.
     pub fn arrived(&mut self, id: u64, machine: usize, begun: Millis) -> bool {
-        self.work(machine, begun);
+        self.count_work(machine, begun);
         if let Some(told) = self.drained.get(&machine).filter(|told| begun > *told + DRAIN_MS) {
             let late = begun - told;
             self.rules.drain += 1;
             self.note(format!("drain: {id:x} came to machine {machine} {late:.0} ms after the word"));
         }
-        let Some(asked) = self.asked.get_mut(&id) else { return false };
+        let Some(asked) = self.requests.get_mut(&id) else { return false };
         asked.arrivals += 1;
         let again = asked.arrivals > 1;
         if asked.arrivals > asked.most {
@@ -174,18 +174,18 @@
     }
 
     /// A connection was accepted: a handshake is work.
-    pub fn shaken(&mut self, machine: usize, at: Millis) {
-        self.work(machine, at);
+    pub fn connection_accepted(&mut self, machine: usize, at: Millis) {
+        self.count_work(machine, at);
     }
 
-    fn work(&mut self, machine: usize, at: Millis) {
+    fn count_work(&mut self, machine: usize, at: Millis) {
         let cold =
             self.cold.iter_mut().filter(|(of, cold)| *of == machine && at >= cold.since && at < cold.until);
         cold.for_each(|(_, cold)| cold.work.push(at));
     }
 
-    /// The board has told that a machine drains or is gone; `None`: that it serves.
-    pub fn told(&mut self, machine: usize, drained: Option<Millis>) {
+    /// The discovery has told that a machine drains or is gone; `None`: that it serves.
+    pub fn set_drained(&mut self, machine: usize, drained: Option<Millis>) {
         match drained {
             Some(at) => drop(self.drained.entry(machine).or_insert(at)),
             None => drop(self.drained.remove(&machine)),
@@ -194,10 +194,10 @@
 
     /// A machine has started cold: until then no second may bring more than its budget at that second's start.
     pub fn started_cold(&mut self, machine: usize, since: Millis, until: Millis, budget: Budget) {
-        self.cold.push((machine, Cold { since, until, budget, work: Vec::new() }));
+        self.cold.push((machine, ColdStart { since, until, budget, work: Vec::new() }));
     }
 
-    /// An object was purged at a Unix time, and the board told so.
+    /// An object was purged at a Unix time, and the discovery told so.
     pub fn purged(&mut self, object: u64, told: Millis, made_unix_ms: f64) {
         self.purges.entry(object).or_default().push((told, made_unix_ms));
     }
@@ -210,10 +210,10 @@
 
     /// All is over.
     pub fn finish(mut self) -> Verdict {
-        let mut verdict = Verdict { requests: self.asked.len() as u64, ..Verdict::default() };
+        let mut verdict = Verdict { requests: self.requests.len() as u64, ..Verdict::default() };
         let mut lost = Vec::new();
-        for (id, asked) in &self.asked {
-            let by = asked.sent + asked.patience + LATE_MS + self.grace_ms;
+        for (id, asked) in &self.requests {
+            let by = asked.sent + asked.client_timeout + LATE_MS + self.grace_ms;
             if asked.crossed && asked.answers.is_empty() && asked.arrivals == 0 {
                 continue;
             }
--- a/crates/frostturn-lab/src/check/tests.rs
+++ b/crates/frostturn-lab/src/check/tests.rs
@@ -9,7 +9,7 @@
 #[test]
 fn a_router_that_keeps_the_rules_passes() {
     let mut checker = Checker::default();
-    checker.asked(1, 1, 7, 0.0, 1000.0);
+    checker.request_sent(1, 1, 7, 0.0, 1000.0);
     checker.arrived(1, 0, 5.0);
     served(&mut checker, 1, 10.0);
     let verdict = checker.finish();
@@ -19,7 +19,7 @@
 #[test]
 fn one_that_says_nothing_late_or_twice_loses_requests() {
     let mut checker = Checker::default();
-    (1..=3).for_each(|id| checker.asked(id, 2, 7, 0.0, 1000.0));
+    (1..=3).for_each(|id| checker.request_sent(id, 2, 7, 0.0, 1000.0));
     served(&mut checker, 2, 1200.0);
     served(&mut checker, 3, 10.0);
     served(&mut checker, 3, 11.0);
@@ -29,7 +29,7 @@
 #[test]
 fn what_a_killed_router_held_is_excused_and_nothing_else() {
     let mut checker = Checker::default();
-    (1..=2).for_each(|id| checker.asked(id, 1, 7, 0.0, 1000.0));
+    (1..=2).for_each(|id| checker.request_sent(id, 1, 7, 0.0, 1000.0));
     checker.arrived(1, 0, 5.0);
     checker.arrived(1, 1, 6.0);
     checker.excuse(1);
@@ -40,8 +40,8 @@
 #[test]
 fn one_that_sends_a_swap_over_another_address_doubles_it() {
     let mut checker = Checker::default();
-    checker.asked(1, 1, 7, 0.0, 1000.0);
-    checker.asked(2, 2, 7, 0.0, 1000.0);
+    checker.request_sent(1, 1, 7, 0.0, 1000.0);
+    checker.request_sent(2, 2, 7, 0.0, 1000.0);
     for id in [1, 2] {
         checker.arrived(id, 0, 5.0);
         checker.arrived(id, 0, 90.0);
@@ -53,13 +53,13 @@
 #[test]
 fn one_that_goes_on_sending_to_a_draining_machine_breaks_the_rule_on_drains() {
     let mut checker = Checker::default();
-    checker.told(3, Some(0.0));
+    checker.set_drained(3, Some(0.0));
     for (id, at) in [(1, 900.0), (2, 1100.0)] {
-        checker.asked(id, 2, 7, at, 1000.0);
+        checker.request_sent(id, 2, 7, at, 1000.0);
         checker.arrived(id, 3, at);
         served(&mut checker, id, at + 1.0);
     }
-    checker.told(3, None);
+    checker.set_drained(3, None);
     checker.arrived(1, 3, 5000.0);
     assert_eq!(checker.finish().rules.drain, 1);
 }
@@ -71,8 +71,8 @@
     checker.started_cold(2, 0.0, 5000.0, budget);
     checker.started_cold(3, 0.0, 5000.0, budget);
     for at in 0..12 {
-        checker.shaken(2, 100.0 + f64::from(at));
-        checker.shaken(3, 100.0 + 200.0 * f64::from(at));
+        checker.connection_accepted(2, 100.0 + f64::from(at));
+        checker.connection_accepted(3, 100.0 + 200.0 * f64::from(at));
     }
     assert_eq!(checker.finish().rules.cold, 1);
 }
@@ -82,7 +82,7 @@
     let mut checker = Checker::default();
     checker.purged(7, 100.0, 5000.0);
     for (id, at, stamp_ms) in [(1, 1000.0, 4000.0), (2, 1200.0, 4000.0), (3, 1200.0, 6000.0)] {
-        checker.asked(id, 2, 7, at, 1000.0);
+        checker.request_sent(id, 2, 7, at, 1000.0);
         checker.answered(id, at + 5.0, Answer::Served { stamp_ms });
     }
     assert_eq!(checker.finish().rules.purge, 1);
@@ -91,7 +91,7 @@
 #[test]
 fn what_crossed_a_close_is_sent_again_unless_it_was_sent_on() {
     let mut checker = Checker::default();
-    (1..=3).for_each(|id| checker.asked(id, 1, 7, 0.0, 1000.0));
+    (1..=3).for_each(|id| checker.request_sent(id, 1, 7, 0.0, 1000.0));
     checker.crossed(1);
     checker.crossed(2);
     checker.arrived(2, 0, 5.0);
@@ -102,8 +102,8 @@
 #[test]
 fn an_answer_may_be_late_by_what_is_granted_and_no_more() {
     let mut checker = Checker::default();
-    checker.grant(500.0);
-    (1..=2).for_each(|id| checker.asked(id, 1, 7, 0.0, 1000.0));
+    checker.set_grace(500.0);
+    (1..=2).for_each(|id| checker.request_sent(id, 1, 7, 0.0, 1000.0));
     served(&mut checker, 1, 1599.0);
     served(&mut checker, 2, 1601.0);
     assert_eq!(checker.finish().rules.lost, 1);
--- a/crates/frostturn-lab/src/clients.rs
+++ b/crates/frostturn-lab/src/clients.rs
@@ -17,13 +17,13 @@
 /// Requests open on one connection, as the front's web servers have it.
 const MAX_OPEN: usize = 32;
 /// A request that crosses a close within this time is sent again on another connection, once.
-const CROSSED_MS: f64 = 50.0;
+const RESEND_WINDOW_MS: f64 = 50.0;
 /// The size of an object: 2.5 ms at the settings' full pace of 10,000 KB a second.
 const SIZE_KB: &str = "25";
 /// Connections to a router, all of them open from the start, as the front's web servers keep them.
 const CONNECTIONS: usize = 24;
 /// How long a new connection may take to come up.
-const CONNECT_PATIENCE: Duration = Duration::from_secs(1);
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 /// Groups of objects.
 pub const GROUPS: u64 = 16;
 /// Objects that are asked for, by Zipf's law.
@@ -37,15 +37,15 @@
     /// Part of all requests.
     pub share: f64,
     /// How long its clients wait.
-    pub patience_ms: f64,
+    pub client_timeout_ms: f64,
     /// An answer within that counts for its worth.
     pub aim_ms: f64,
     /// What it is worth.
     pub worth: f64,
     /// Attempts that may run.
-    pub most: u64,
+    pub max_attempts: u64,
     /// It is of an object.
-    pub object: bool,
+    pub has_object: bool,
 }
 
 /// What the branches ask for.
@@ -53,29 +53,29 @@
     Class {
         name: "training-video",
         share: 0.25,
-        patience_ms: 2500.0,
+        client_timeout_ms: 2500.0,
         aim_ms: 400.0,
         worth: 1.0,
-        most: 4,
-        object: true,
+        max_attempts: 4,
+        has_object: true,
     },
     Class {
         name: "rota-page",
         share: 0.65,
-        patience_ms: 1500.0,
+        client_timeout_ms: 1500.0,
         aim_ms: 250.0,
         worth: 2.0,
-        most: 4,
-        object: true,
+        max_attempts: 4,
+        has_object: true,
     },
     Class {
         name: "shift-swap",
         share: 0.10,
-        patience_ms: 2000.0,
+        client_timeout_ms: 2000.0,
         aim_ms: 600.0,
         worth: 8.0,
-        most: 1,
-        object: false,
+        max_attempts: 1,
+        has_object: false,
     },
 ];
 
@@ -94,7 +94,7 @@
     /// When each was sent, its worth, and whether that was earned.
     pub times: Vec<(f64, f64, bool)>,
     /// All requests: which, when they were sent, and until when their clients wait.
-    pub asked: Vec<(u64, f64, f64)>,
+    pub requests: Vec<(u64, f64, f64)>,
 }
 
 /// A request that was sent and awaits its answer.
@@ -175,7 +175,7 @@
         next += gaps.sample(&mut rng);
     }
     // The last answers come by then, or never.
-    let longest = CLASSES.iter().map(|class| class.patience_ms).fold(0.0, f64::max);
+    let longest = CLASSES.iter().map(|class| class.client_timeout_ms).fold(0.0, f64::max);
     let until = world.now() + longest + 300.0;
     while world.now() < until && servers.awaits() {
         thread::sleep(Duration::from_millis(20));
@@ -207,7 +207,7 @@
             unsent: 0,
             crossed: 0,
             times: Vec::new(),
-            asked: Vec::new(),
+            requests: Vec::new(),
         };
         Self {
             world: world.clone(),
@@ -235,7 +235,7 @@
             unsent: load.unsent,
             crossed: load.crossed,
             times: std::mem::take(&mut load.times),
-            asked: std::mem::take(&mut load.asked),
+            requests: std::mem::take(&mut load.requests),
         }
     }
 
@@ -261,7 +261,7 @@
     /// Sends a request on the connection that carries least.
     fn send(&mut self, mut sent: Sent) {
         lock(&self.load).worth += CLASSES[sent.class].worth;
-        let retired = self.world.seen().retired;
+        let retired = self.world.observations().retired_before;
         self.connections.retain(|one| !lock(&one.open).ended && one.opened_at >= retired);
         while self.connections.len() < CONNECTIONS {
             let Some(connection) = self.connect() else { break };
@@ -294,8 +294,14 @@
         let number = lock(&connection.open).add(sent)?;
         self.world.event(|| format!("sent id={id:016x} port={} again={}", connection.port, !first));
         if first {
-            lock(&self.load).asked.push((id, now, now + class.patience_ms));
-            self.world.seen().checker.asked(id, class.most, object, now, class.patience_ms);
+            lock(&self.load).requests.push((id, now, now + class.client_timeout_ms));
+            self.world.observations().checker.request_sent(
+                id,
+                class.max_attempts,
+                object,
+                now,
+                class.client_timeout_ms,
+            );
         }
         // One that can't be written was not taken; its reader sees the connection end.
         if let Err(e) = connection.stream.write_all(&request(number, class, id, object)) {
@@ -305,7 +311,7 @@
     }
 
     fn connect(&self) -> Option<Connection> {
-        let stream = TcpStream::connect_timeout(&self.router, CONNECT_PATIENCE).ok()?;
+        let stream = TcpStream::connect_timeout(&self.router, CONNECT_TIMEOUT).ok()?;
         stream.set_nodelay(true).ok()?;
         let port = stream.local_addr().ok()?.port();
         let open = Arc::new(Mutex::new(OpenRequests::default()));
@@ -323,7 +329,8 @@
             let left = lock(&open).end();
             world.event(|| format!("connection_ended port={port} how={end} open={}", left.len()));
             // What crossed the close was not taken; what was open for longer is lost.
-            let may_cross = |sent: &Sent| !sent.again && sent.head.is_empty() && now - sent.at <= CROSSED_MS;
+            let may_cross =
+                |sent: &Sent| !sent.again && sent.head.is_empty() && now - sent.at <= RESEND_WINDOW_MS;
             let again = left.into_iter().filter(may_cross).map(|sent| {
                 world.event(|| format!("crossed id={:016x} port={port}", sent.id));
                 Sent { again: true, ..sent }
@@ -336,18 +343,18 @@
 
 /// The bytes of a request.
 fn request(number: u16, class: &Class, id: u64, object: u64) -> Vec<u8> {
-    request_within(class.patience_ms, number, class, id, object)
+    request_within(class.client_timeout_ms, number, class, id, object)
 }
 
 /// The same, of a client that waits so long.
-pub fn request_within(patience_ms: f64, number: u16, class: &Class, id: u64, object: u64) -> Vec<u8> {
+pub fn request_within(client_timeout_ms: f64, number: u16, class: &Class, id: u64, object: u64) -> Vec<u8> {
     let (mut out, mut params) = (Vec::new(), Vec::new());
     fastcgi::record(&mut out, kind::BEGIN, number, &[0, 1, 1, 0, 0, 0, 0, 0]);
     let mut pair = |name: &str, value: String| fastcgi::pair(&mut params, name.as_bytes(), value.as_bytes());
     pair("SCRIPT_NAME", format!("/ops/{}", class.name));
     pair("HTTP_X_REQUEST_ID", format!("{id:016x}"));
-    pair("HTTP_X_TIMEOUT_MS", format!("{patience_ms:.0}"));
-    if class.object {
+    pair("HTTP_X_TIMEOUT_MS", format!("{client_timeout_ms:.0}"));
+    if class.has_object {
         pair("HTTP_X_OBJECT", format!("{object:016x}"));
         pair("HTTP_X_CHUNK", "0".to_owned());
         pair("HTTP_X_TAG", format!("{}", object % GROUPS));
@@ -404,7 +411,7 @@
 fn answered(sent: &Sent, end: &[u8], world: &World, load: &Mutex<Load>) {
     let now = world.now();
     let answer = read_answer(&sent.head, end);
-    world.seen().checker.answered(sent.id, now, answer);
+    world.observations().checker.answered(sent.id, now, answer);
     let earned = matches!(answer, Answer::Served { .. }) && now - sent.at <= CLASSES[sent.class].aim_ms;
     lock(load).times.push((sent.at, CLASSES[sent.class].worth, earned));
     if let Answer::Served { .. } = answer {
--- a/crates/frostturn-lab/src/daemon.rs
+++ b/crates/frostturn-lab/src/daemon.rs
@@ -23,9 +23,9 @@
     pub program: Option<&'a Path>,
     /// The operator's file.
     pub operator: Option<&'a Path>,
-    /// The notice board.
-    pub board: SocketAddr,
-    /// The board's events so far.
+    /// The notice discovery.
+    pub discovery: SocketAddr,
+    /// The discovery's events so far.
     pub known: Value,
     /// Draws its random choices.
     pub seed: u64,
@@ -33,7 +33,7 @@
     pub name: &'a str,
     pub instances: usize,
     /// It is one of several that listen at the same place, and operators can call it.
-    pub beside: Option<Beside>,
+    pub shared_listener: Option<SharedListener>,
     /// What the settings' deadlines are multiplied by.
     pub deadline_scale: f64,
     /// Further variables of its environment.
@@ -42,7 +42,7 @@
 
 /// One process of several.
 #[derive(Clone, Copy, Debug)]
-pub struct Beside {
+pub struct SharedListener {
     /// Where they listen; port 0 for the first.
     pub listen: SocketAddr,
     /// Which it is.
@@ -64,18 +64,18 @@
     /// Starts one and waits until it is ready.
     pub fn start(how: &Start<'_>) -> Result<Self, String> {
         let mut daemon = Self::spawn(how)?;
-        daemon.until_ready(how.beside.is_some())?;
+        daemon.wait_until_ready(how.shared_listener.is_some())?;
         Ok(daemon)
     }
 
     /// Starts one.
     pub fn spawn(how: &Start<'_>) -> Result<Self, String> {
-        let (listen, number) = match how.beside {
-            Some(Beside { listen, number }) => (listen, number.to_string()),
+        let (listen, number) = match how.shared_listener {
+            Some(SharedListener { listen, number }) => (listen, number.to_string()),
             None => (([127, 0, 0, 1], 0).into(), String::new()),
         };
         let config = json!({
-            "name": how.name, "listen": listen.to_string(), "seed": format!("{:x}", how.seed), "board": how.board.to_string(),
+            "name": how.name, "listen": listen.to_string(), "seed": format!("{:x}", how.seed), "board": how.discovery.to_string(),
             "limits": { "cores": 1.0, "memory_mb": 32, "sockets": 1024 }, "known": how.known, "settings": settings(how.instances, how.deadline_scale),
         });
         let (path, log) =
@@ -101,7 +101,7 @@
         command.env("PROXY_CONFIG", &path).env_remove("PROXY_LISTEN").env_remove("PROXY_NAME");
         command.env_remove("FROSTTURN_LOG").env_remove("FROSTTURN_OPERATOR").env_remove("PROXY_OPS");
         command.env_remove("FROSTTURN_LOG_LEVEL");
-        if how.beside.is_some() {
+        if how.shared_listener.is_some() {
             command.env("PROXY_OPS", "127.0.0.1:0").env("TMPDIR", how.dir);
         }
         if let Some(operator) = how.operator {
@@ -118,7 +118,7 @@
     }
 
     /// Waits until it is ready: by its operators' place, where it has one of its own.
-    pub fn until_ready(&mut self, called: bool) -> Result<(), String> {
+    pub fn wait_until_ready(&mut self, called: bool) -> Result<(), String> {
         let until = Instant::now() + Duration::from_secs(10);
         loop {
             let text = std::fs::read_to_string(&self.log).unwrap_or_default();
@@ -132,7 +132,7 @@
                     Some(ops) if called => {
                         call(ops, &Call::Ready).is_ok_and(|answer| matches!(answer, Answer::Yes(_)))
                     }
-                    _ => alive(address),
+                    _ => answers_health_check(address),
                 };
                 if ready {
                     return Ok(());
@@ -150,11 +150,11 @@
     }
 
     /// Stops it, as a machine does that pages or is paused, and lets it go on.
-    pub fn stop(&self) {
+    pub fn suspend(&self) {
         self.pid().map(|pid| kill_process(pid, Signal::STOP));
     }
 
-    /// See [`stop`](Self::stop).
+    /// See [`suspend`](Self::suspend).
     pub fn resume(&self) {
         self.pid().map(|pid| kill_process(pid, Signal::CONT));
     }
@@ -171,12 +171,12 @@
     }
 
     /// Files it holds open.
-    pub fn descriptors(&self) -> u64 {
+    pub fn open_descriptors(&self) -> u64 {
         std::fs::read_dir(format!("/proc/{}/fd", self.child.id())).map_or(0, |dir| dir.count() as u64)
     }
 
     /// Bounds the descriptors that it may open.
-    pub fn bound_descriptors(&self, most: u64) {
+    pub fn limit_descriptors(&self, most: u64) {
         let limit = Rlimit { current: Some(most), maximum: getrlimit(Resource::Nofile).maximum };
         if let Err(e) = prlimit(self.pid(), Resource::Nofile, limit) {
             eprintln!("descriptors can't be bounded: {e}");
@@ -184,7 +184,7 @@
     }
 
     /// CPU it has used, in milliseconds, and the most memory it has held, in KB.
-    pub fn used(&self) -> (f64, u64) {
+    pub fn resource_usage(&self) -> (f64, u64) {
         let read = |what: &str| {
             std::fs::read_to_string(format!("/proc/{}/{what}", self.child.id())).unwrap_or_default()
         };
@@ -204,18 +204,18 @@
     }
 
     /// Tells it to end; true if it did so well.
-    pub fn end(self) -> bool {
+    pub fn shut_down(self) -> bool {
         self.terminate();
-        self.ended()
+        self.wait_for_exit()
     }
 
     /// Whether its process runs.
-    pub fn runs(&mut self) -> bool {
+    pub fn is_running(&mut self) -> bool {
         matches!(self.child.try_wait(), Ok(None))
     }
 
     /// Waits for its end; true if it was a good one.
-    pub fn ended(mut self) -> bool {
+    pub fn wait_for_exit(mut self) -> bool {
         let until = Instant::now() + Duration::from_secs(6);
         while Instant::now() < until {
             if let Ok(Some(status)) = self.child.try_wait() {
@@ -273,7 +273,7 @@
 }
 
 /// Whether a router says that it is ready.
-fn alive(address: SocketAddr) -> bool {
+fn answers_health_check(address: SocketAddr) -> bool {
     let asked = || -> std::io::Result<String> {
         let mut stream = TcpStream::connect_timeout(&address, Duration::from_secs(1))?;
         stream.set_read_timeout(Some(Duration::from_secs(1)))?;
--- a/crates/frostturn-lab/src/discovery.rs
+++ b/crates/frostturn-lab/src/discovery.rs
@@ -1,4 +1,4 @@
-//! The stand-in notice board: numbered events over HTTP/1.1 long polls.
+//! The stand-in notice discovery: numbered events over HTTP/1.1 long polls.
 
 use crate::check::Millis;
 use crate::world::World;
@@ -14,48 +14,48 @@
 
 /// What an event tells that the rules depend on.
 #[derive(Clone, Copy, Debug)]
-pub enum Told {
+pub enum Announcement {
     /// A machine drains or is gone.
-    Drains(usize),
+    Draining(usize),
     /// An object was purged at a Unix time.
     Purged(u64, f64),
 }
 
 /// The events so far.
 #[derive(Debug)]
-pub struct Board {
+pub struct DiscoveryServer {
     /// Where it is asked.
     pub address: SocketAddr,
     events: Mutex<Vec<Value>>,
     more: Condvar,
     /// What is to be noted once an event has been delivered, by its number.
-    pending: Mutex<Vec<(u64, Millis, Told)>>,
+    pending: Mutex<Vec<(u64, Millis, Announcement)>>,
     world: Arc<World>,
 }
 
-impl Board {
+impl DiscoveryServer {
     /// Starts one with the event of the start.
     pub fn start(world: &Arc<World>, first: Value) -> io::Result<Arc<Self>> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
-        let board = Arc::new(Self {
+        let discovery = Arc::new(Self {
             address: listener.local_addr()?,
             events: Mutex::new(vec![numbered(1, first)]),
             more: Condvar::new(),
             pending: Mutex::default(),
             world: world.clone(),
         });
-        let asked = board.clone();
+        let asked = discovery.clone();
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
                 let asked = asked.clone();
                 thread::spawn(move || asked.serve(stream));
             }
         });
-        Ok(board)
+        Ok(discovery)
     }
 
     /// Tells an event. It counts as told once it is delivered, and 7 s later at the latest.
-    pub fn tell(&self, event: Value, told: Option<Told>) {
+    pub fn publish(&self, event: Value, told: Option<Announcement>) {
         let mut events = self.events.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
         let rev = events.len() as u64 + 1;
         events.push(numbered(rev, event));
@@ -73,12 +73,12 @@
         let (due, rest) = pending.drain(..).partition(|(rev, until, _)| *rev <= upto || *until <= now);
         *pending = rest;
         drop(pending);
-        let due: Vec<(u64, Millis, Told)> = due;
-        let mut seen = self.world.seen();
+        let due: Vec<(u64, Millis, Announcement)> = due;
+        let mut seen = self.world.observations();
         for (_, _, told) in due {
             match told {
-                Told::Drains(machine) => seen.checker.told(machine, Some(now)),
-                Told::Purged(object, made) => seen.checker.purged(object, now, made),
+                Announcement::Draining(machine) => seen.checker.set_drained(machine, Some(now)),
+                Announcement::Purged(object, made) => seen.checker.purged(object, now, made),
             }
         }
     }
@@ -92,7 +92,7 @@
     fn serve(&self, mut stream: TcpStream) {
         let (mut bytes, mut buffer) = (Vec::new(), [0; 4096]);
         let _ = stream.set_nodelay(true);
-        while !self.world.over() {
+        while !self.world.ended() {
             while !bytes.windows(4).any(|end| end == b"\r\n\r\n") {
                 match stream.read(&mut buffer) {
                     Ok(count @ 1..) => bytes.extend_from_slice(&buffer[..count]),
@@ -110,7 +110,7 @@
                 (number("watch="), Instant::now() + Duration::from_millis(number("linger=")));
             let mut events = self.events.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
             self.note(0);
-            while events.len() as u64 <= watch && Instant::now() < until && !self.world.over() {
+            while events.len() as u64 <= watch && Instant::now() < until && !self.world.ended() {
                 let wait = until.saturating_duration_since(Instant::now()).min(Duration::from_millis(100));
                 events = match self.more.wait_timeout(events, wait) {
                     Ok((events, _)) => events,
--- a/crates/frostturn-lab/src/fleet/audit.rs
+++ b/crates/frostturn-lab/src/fleet/audit.rs
@@ -1,6 +1,6 @@
 //! What real routers said, from the lines that they log: by a clock that all processes of a machine share.
 
-use super::check::{Said, Word};
+use super::check::{FleetEvent, LoggedEvent};
 use frostturn::fleet::{QuorumStatus, State};
 
 /// Milliseconds of the clock that the daemon's lines name.
@@ -10,7 +10,7 @@
 }
 
 /// The words of one process's log, and the number of its start; `start` is which of its router's it is.
-pub fn read(log: &str, by: usize, start: usize) -> (Vec<Said>, u64) {
+pub fn parse_log(log: &str, by: usize, start: usize) -> (Vec<LoggedEvent>, u64) {
     let (mut said, mut number) = (Vec::new(), 0);
     for line in log.lines() {
         if let Some((_, rest)) = line.split_once(", start ") {
@@ -18,8 +18,8 @@
             continue;
         }
         let Some((_, line)) = line.split_once("fleet: ") else { continue };
-        let word = standing(line).or_else(|| changed(line));
-        said.extend(word.map(|(at, word)| Said { at, by, start, word }));
+        let event = status_changed(line).or_else(|| member_changed(line));
+        said.extend(event.map(|(at, event)| LoggedEvent { at, by, start, event }));
     }
     (said, number)
 }
@@ -28,9 +28,9 @@
     line.split_once(from)?.1.split_once(to).map(|(found, _)| found)
 }
 
-fn standing(line: &str) -> Option<(f64, Word)> {
-    let (word, _) = line.split_once(" in term ")?;
-    let says = match word {
+fn status_changed(line: &str) -> Option<(f64, FleetEvent)> {
+    let (name, _) = line.split_once(" in term ")?;
+    let status = match name {
         "majority" => QuorumStatus::Majority,
         "cut-off" => QuorumStatus::CutOff,
         "joining" => QuorumStatus::Joining,
@@ -39,10 +39,10 @@
     let term = between(line, " in term ", " since")?.parse().ok()?;
     let (since, at) =
         (between(line, "since ", ",")?.parse().ok()?, between(line, " at ", ";")?.parse().ok()?);
-    Some((at, Word::Standing { says, term, since }))
+    Some((at, FleetEvent::StatusChanged { status, term, since }))
 }
 
-fn changed(line: &str) -> Option<(f64, Word)> {
+fn member_changed(line: &str) -> Option<(f64, FleetEvent)> {
     let (name, rest) = line.split_once(" is ")?;
     let (state, rest) = rest.split_once(" at ")?;
     let state = match state {
@@ -57,7 +57,7 @@
     let at = rest.split_once(' ')?.0.parse().ok()?;
     let start = between(rest, "(start ", ",")?.parse().ok()?;
     let term = between(rest, "term ", ")")?.parse().ok()?;
-    Some((at, Word::Of { other, start, term, state }))
+    Some((at, FleetEvent::MemberChanged { other, start, term, state }))
 }
 
 #[cfg(test)]
--- a/crates/frostturn-lab/src/fleet/check.rs
+++ b/crates/frostturn-lab/src/fleet/check.rs
@@ -2,23 +2,23 @@
 //!
 //! The truth is what the schedule did, and when; what routers said are their lines, by a clock that all share.
 
-use super::schedule::{Cut, Millis, What};
+use super::schedule::{Cut, FaultAction, Millis};
 use crate::report::Bound;
 use frostturn::fleet::{QuorumStatus, State};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// What a router said.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Word {
+pub enum FleetEvent {
     /// Of itself, in force since then.
-    Standing { says: QuorumStatus, term: u32, since: Millis },
+    StatusChanged { status: QuorumStatus, term: u32, since: Millis },
     /// Of another one, by number, and which start and term of it.
-    Of { other: usize, start: u64, term: u32, state: State },
+    MemberChanged { other: usize, start: u64, term: u32, state: State },
 }
 
 /// A word, when it was said and by whom.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Said {
+pub struct LoggedEvent {
     /// When.
     pub at: Millis,
     /// Which router.
@@ -26,19 +26,19 @@
     /// Which start of it: 0, 1, … by the order of starts.
     pub start: usize,
     /// What.
-    pub word: Word,
+    pub event: FleetEvent,
 }
 
 /// A router that was called gone in the 3 s after a fault ended for it may still be.
-const HEARD_AGAIN_MS: Millis = 3000.0;
+const REJOIN_LIMIT_MS: Millis = 3000.0;
 /// Stalls up to this are no reason to call anyone gone.
-const SHORT_MS: Millis = 3050.0;
+const SHORT_STALL_MS: Millis = 3050.0;
 /// Time that a death is given to be noticed.
-const NOTICED_MS: Millis = 10_000.0;
+const DETECTION_LIMIT_MS: Millis = 10_000.0;
 
 /// A stretch of time in which nothing changes.
 #[derive(Clone, Debug)]
-struct Stretch {
+struct Interval {
     from: Millis,
     until: Millis,
     alive: Vec<bool>,
@@ -47,11 +47,11 @@
     joined: Vec<bool>,
 }
 
-/// All that was done, as stretches.
+/// All that was done, as intervals.
 #[derive(Debug)]
-pub struct Truth {
+pub struct GroundTruth {
     routers: usize,
-    stretches: Vec<Stretch>,
+    intervals: Vec<Interval>,
     kills: Vec<(Millis, usize)>,
     /// For each router, when each of its processes began and ended.
     lives: Vec<Vec<(Millis, Millis)>>,
@@ -64,16 +64,16 @@
     end: Millis,
 }
 
-impl Truth {
+impl GroundTruth {
     /// What was done at these times, from a start of all at `begin` on, until `end`.
-    pub fn new(begin: Millis, done: &[(Millis, What)], starts: Vec<Vec<u64>>, end: Millis) -> Self {
+    pub fn new(begin: Millis, done: &[(Millis, FaultAction)], starts: Vec<Vec<u64>>, end: Millis) -> Self {
         let routers = starts.len();
         let mut alive = vec![true; routers];
         let mut stopped = vec![false; routers];
         let mut cuts: Vec<Cut> = Vec::new();
         let mut truth = Self {
             routers,
-            stretches: Vec::new(),
+            intervals: Vec::new(),
             kills: Vec::new(),
             lives: vec![vec![(begin, end)]; routers],
             starts,
@@ -82,15 +82,15 @@
             end,
         };
         let mut from = begin;
-        for (at, what) in done.iter().cloned().chain([(end, What::Junk(0, 0))]) {
+        for (at, what) in done.iter().cloned().chain([(end, FaultAction::Junk(0, 0))]) {
             if at > from {
                 let joined = joined(&alive, &stopped, &cuts);
                 let (alive, stopped) = (alive.clone(), stopped.clone());
-                truth.stretches.push(Stretch { from, until: at, alive, stopped, joined });
+                truth.intervals.push(Interval { from, until: at, alive, stopped, joined });
                 from = at;
             }
             match what {
-                What::Kill(these) => {
+                FaultAction::Kill(these) => {
                     for one in these.into_iter().filter(|one| std::mem::replace(&mut alive[*one], false)) {
                         truth.kills.push((at, one));
                         stopped[one] = false;
@@ -99,18 +99,18 @@
                         }
                     }
                 }
-                What::Start(these) => {
+                FaultAction::Start(these) => {
                     for one in these.into_iter().filter(|one| !std::mem::replace(&mut alive[*one], true)) {
                         truth.lives[one].push((at, end));
                     }
                 }
-                What::Stop(these) => {
+                FaultAction::Stop(these) => {
                     for one in these.into_iter().filter(|one| alive[*one]) {
                         stopped[one] = true;
                         truth.stops[one].push((at, end));
                     }
                 }
-                What::Resume(these) => {
+                FaultAction::Resume(these) => {
                     for one in these.into_iter().filter(|one| std::mem::replace(&mut stopped[*one], false)) {
                         truth.heals.push(at);
                         if let Some(stop) = truth.stops[one].last_mut() {
@@ -118,25 +118,25 @@
                         }
                     }
                 }
-                What::Links(new, _) => {
+                FaultAction::Links(new, _) => {
                     if !cuts.is_empty() && new.is_empty() {
                         truth.heals.push(at);
                     }
                     cuts = new;
                 }
-                What::Late(..) | What::Junk(..) => {}
+                FaultAction::Late(..) | FaultAction::Junk(..) => {}
             }
         }
         truth
     }
 
-    fn during(&self, from: Millis, until: Millis) -> impl Iterator<Item = &Stretch> {
-        self.stretches.iter().filter(move |one| one.until > from && one.from < until)
+    fn during(&self, from: Millis, until: Millis) -> impl Iterator<Item = &Interval> {
+        self.intervals.iter().filter(move |one| one.until > from && one.from < until)
     }
 
     /// Whether one ran all the time with ways to and from a majority; a short standstill is none.
     fn well(&self, one: usize, from: Millis, until: Millis) -> bool {
-        let short = self.stops[one].iter().all(|(a, b)| *b <= from || *a >= until || b - a <= SHORT_MS);
+        let short = self.stops[one].iter().all(|(a, b)| *b <= from || *a >= until || b - a <= SHORT_STALL_MS);
         short && self.during(from, until).all(|s| s.alive[one] && s.joined[one])
     }
 
@@ -242,7 +242,7 @@
         ]
     }
 
-    /// How often each time could be taken: a bound over none says nothing.
+    /// How often each time could be taken: a bound over none status nothing.
     pub fn samples(&self) -> String {
         let [suspect, gone, rejoin] = [&self.suspect_ms, &self.gone_ms, &self.rejoin_ms].map(Vec::len);
         format!("{suspect} times to suspect, {gone} to gone, {rejoin} to rejoin")
@@ -256,7 +256,7 @@
 }
 
 /// Holds all that was said against the truth. `said` is in order of time.
-pub fn judge(truth: &Truth, said: &[Said]) -> Figures {
+pub fn evaluate(truth: &GroundTruth, said: &[LoggedEvent]) -> Figures {
     let mut figures = Figures::default();
     gone(truth, said, &mut figures);
     deaths(truth, said, &mut figures);
@@ -266,35 +266,39 @@
 }
 
 /// Each router's standing over time, by its starts.
-type Standings = BTreeMap<(usize, usize), Vec<(Millis, QuorumStatus, u32)>>;
+type StatusHistory = BTreeMap<(usize, usize), Vec<(Millis, QuorumStatus, u32)>>;
 
-fn standings(said: &[Said]) -> Standings {
-    let mut all = Standings::new();
+fn status_history(said: &[LoggedEvent]) -> StatusHistory {
+    let mut all = StatusHistory::new();
     for one in said {
-        if let Word::Standing { says, term, since } = one.word {
-            all.entry((one.by, one.start)).or_default().push((since, says, term));
+        if let FleetEvent::StatusChanged { status, term, since } = one.event {
+            all.entry((one.by, one.start)).or_default().push((since, status, term));
         }
     }
     all
 }
 
 /// Words that somebody is gone: false ones, and those that came before that one knew.
-fn gone(truth: &Truth, said: &[Said], figures: &mut Figures) {
-    let standings = standings(said);
+fn gone(truth: &GroundTruth, said: &[LoggedEvent], figures: &mut Figures) {
+    let status_history = status_history(said);
     for one in said {
-        let Word::Of { other, start, term, state: State::Gone } = one.word else { continue };
-        if truth.well(other, one.at - HEARD_AGAIN_MS, one.at) {
+        let FleetEvent::MemberChanged { other, start, term, state: State::Gone } = one.event else {
+            continue;
+        };
+        if truth.well(other, one.at - REJOIN_LIMIT_MS, one.at) {
             figures.false_gone += 1;
             figures.note(format!("{} called {other} gone at {:.0}, which was well", one.by, one.at));
         }
-        // A dead one knows nothing, and one that never wakes says nothing.
+        // A dead one knows nothing, and one that never wakes status nothing.
         let Some(life) = truth.life(other, start, one.at).filter(|_| truth.wakes(other, one.at)) else {
             continue;
         };
-        let Some(known) = standings.get(&(other, life)) else { continue };
-        // What held then, by its own words, which one that stood still says when it wakes.
-        let Some((_, says, now)) = known.iter().rev().find(|(since, ..)| *since <= one.at) else { continue };
-        if *says == QuorumStatus::Majority && *now <= term {
+        let Some(known) = status_history.get(&(other, life)) else { continue };
+        // What held then, by its own words, which one that stood still status when it wakes.
+        let Some((_, status, now)) = known.iter().rev().find(|(since, ..)| *since <= one.at) else {
+            continue;
+        };
+        if *status == QuorumStatus::Majority && *now <= term {
             figures.knows_first += 1;
             let (by, at) = (one.by, one.at);
             figures.note(format!(
@@ -307,10 +311,10 @@
 /// What each said of each other one, in order of time: in a large fleet there is too much to look through all for each.
 type ByPair = BTreeMap<(usize, usize), Vec<(Millis, State)>>;
 
-fn by_pair(said: &[Said]) -> ByPair {
+fn by_pair(said: &[LoggedEvent]) -> ByPair {
     let mut all = ByPair::new();
     for one in said {
-        if let Word::Of { other, state, .. } = one.word {
+        if let FleetEvent::MemberChanged { other, state, .. } = one.event {
             all.entry((one.by, other)).or_default().push((one.at, state));
         }
     }
@@ -318,29 +322,29 @@
 }
 
 /// How soon deaths are noticed.
-fn deaths(truth: &Truth, said: &[Said], figures: &mut Figures) {
+fn deaths(truth: &GroundTruth, said: &[LoggedEvent], figures: &mut Figures) {
     let pairs = by_pair(said);
     for (at, dead) in &truth.kills {
         let back =
             truth.lives[*dead].iter().map(|(from, _)| *from).find(|from| from >= at).unwrap_or(truth.end);
         for by in (0..truth.routers).filter(|by| by != dead) {
-            let words = || pairs.get(&(by, *dead)).into_iter().flatten().copied();
-            // One that suspected it before says nothing new.
-            if words().rfind(|(when, _)| when < at).is_some_and(|(_, state)| state != State::Alive) {
+            let events = || pairs.get(&(by, *dead)).into_iter().flatten().copied();
+            // One that suspected it before status nothing new.
+            if events().rfind(|(when, _)| when < at).is_some_and(|(_, state)| state != State::Alive) {
                 continue;
             }
             let mut first =
                 |wanted: &[State], within: Millis, times: &mut dyn FnMut(&mut Figures, Millis)| {
-                    if back < at + within || !truth.awake(by, at - HEARD_AGAIN_MS, at + within) {
+                    if back < at + within || !truth.awake(by, at - REJOIN_LIMIT_MS, at + within) {
                         return;
                     }
-                    let noticed = words().find(|(when, state)| when >= at && wanted.contains(state));
+                    let noticed = events().find(|(when, state)| when >= at && wanted.contains(state));
                     times(figures, noticed.map_or(99_999.0, |(when, _)| when - at));
                 };
             first(&[State::Suspect, State::Gone], 4000.0, &mut |figures, ms| figures.suspect_ms.push(ms));
-            first(&[State::Gone], NOTICED_MS, &mut |figures, ms| {
+            first(&[State::Gone], DETECTION_LIMIT_MS, &mut |figures, ms| {
                 figures.gone_ms.push(ms);
-                if ms > NOTICED_MS {
+                if ms > DETECTION_LIMIT_MS {
                     figures.note(format!("{by} took {ms:.0} ms to call {dead} gone, dead since {at:.0}"));
                 }
             });
@@ -349,14 +353,14 @@
 }
 
 /// How soon all is well again after a heal or a wake.
-fn heals(truth: &Truth, said: &[Said], figures: &mut Figures) {
-    let window = HEARD_AGAIN_MS + 500.0;
+fn heals(truth: &GroundTruth, said: &[LoggedEvent], figures: &mut Figures) {
+    let window = REJOIN_LIMIT_MS + 500.0;
     // What each said of its own standing, and what others said of it.
-    let mut about: BTreeMap<usize, Vec<&Said>> = BTreeMap::new();
+    let mut about: BTreeMap<usize, Vec<&LoggedEvent>> = BTreeMap::new();
     for one in said {
-        let whom = match one.word {
-            Word::Standing { .. } => one.by,
-            Word::Of { other, .. } => other,
+        let whom = match one.event {
+            FleetEvent::StatusChanged { .. } => one.by,
+            FleetEvent::MemberChanged { other, .. } => other,
         };
         about.entry(whom).or_default().push(one);
     }
@@ -373,9 +377,13 @@
             let (watched, mut stands, mut well) = (without.clone(), false, f64::INFINITY);
             without.clear();
             for s in about.get(&one).into_iter().flatten().filter(|s| s.at <= heal + window) {
-                match s.word {
-                    Word::Standing { says, .. } if s.by == one => stands = says == QuorumStatus::Majority,
-                    Word::Of { other, state, .. } if other == one && watched.contains(&s.by) => {
+                match s.event {
+                    FleetEvent::StatusChanged { status, .. } if s.by == one => {
+                        stands = status == QuorumStatus::Majority
+                    }
+                    FleetEvent::MemberChanged { other, state, .. }
+                        if other == one && watched.contains(&s.by) =>
+                    {
                         match state {
                             State::Alive => without.remove(&s.by),
                             _ => without.insert(s.by),
@@ -393,7 +401,7 @@
                 }
             }
             let took = if well.is_finite() { (well - heal).max(0.0) } else { 99_999.0 };
-            if took > HEARD_AGAIN_MS {
+            if took > REJOIN_LIMIT_MS {
                 figures.note(format!("{one} was not back {took:.0} ms after {heal:.0}"));
             }
             figures.rejoin_ms.push(took);
@@ -402,8 +410,8 @@
 }
 
 /// Whether all see the same at the end, and since when.
-fn last(truth: &Truth, said: &[Said], figures: &mut Figures) {
-    let Some(end) = truth.stretches.last() else { return };
+fn last(truth: &GroundTruth, said: &[LoggedEvent], figures: &mut Figures) {
+    let Some(end) = truth.intervals.last() else { return };
     let mut seen: BTreeMap<(usize, usize), (Millis, State)> = BTreeMap::new();
     let mut starts: BTreeMap<usize, usize> = BTreeMap::new();
     for one in said {
@@ -413,7 +421,7 @@
             *start = one.start;
             seen.retain(|(by, _), _| *by != one.by);
         }
-        if let Word::Of { other, state, .. } = one.word {
+        if let FleetEvent::MemberChanged { other, state, .. } = one.event {
             seen.insert((one.by, other), (one.at, state));
         }
     }
@@ -424,9 +432,9 @@
             let right = |state: State| (state == State::Alive) == end.alive[other];
             match seen.get(&(by, other)) {
                 Some((at, state)) if right(*state) => since = since.max(*at),
-                other_word => {
+                last_event => {
                     good = false;
-                    figures.note(format!("at the end {by} has {other} as {other_word:?}"));
+                    figures.note(format!("at the end {by} has {other} as {last_event:?}"));
                 }
             }
         }
--- a/crates/frostturn-lab/src/fleet/check/tests.rs
+++ b/crates/frostturn-lab/src/fleet/check/tests.rs
@@ -5,22 +5,27 @@
 
 const END: Millis = 40_000.0;
 
-fn truth(done: &[(Millis, What)]) -> Truth {
-    let starts = done.iter().filter(|(_, what)| matches!(what, What::Start(_))).count() as u64;
+fn truth(done: &[(Millis, FaultAction)]) -> GroundTruth {
+    let starts = done.iter().filter(|(_, what)| matches!(what, FaultAction::Start(_))).count() as u64;
     let numbers = |one: usize| (0..=starts).map(|start| 100 * start + one as u64).collect();
-    Truth::new(0.0, done, (0..3).map(numbers).collect(), END)
+    GroundTruth::new(0.0, done, (0..3).map(numbers).collect(), END)
 }
 
-fn of(at: Millis, by: usize, other: usize, state: State) -> Said {
-    Said { at, by, start: 0, word: Word::Of { other, start: other as u64, term: 2, state } }
+fn of(at: Millis, by: usize, other: usize, state: State) -> LoggedEvent {
+    LoggedEvent {
+        at,
+        by,
+        start: 0,
+        event: FleetEvent::MemberChanged { other, start: other as u64, term: 2, state },
+    }
 }
 
-fn stands(at: Millis, by: usize, says: QuorumStatus, since: Millis) -> Said {
-    Said { at, by, start: 0, word: Word::Standing { says, term: 2, since } }
+fn stands(at: Millis, by: usize, status: QuorumStatus, since: Millis) -> LoggedEvent {
+    LoggedEvent { at, by, start: 0, event: FleetEvent::StatusChanged { status, term: 2, since } }
 }
 
 /// All three know each other and stand.
-fn calm() -> Vec<Said> {
+fn calm() -> Vec<LoggedEvent> {
     let mut said = Vec::new();
     for by in 0..3 {
         said.push(stands(100.0, by, QuorumStatus::Majority, 100.0));
@@ -29,11 +34,11 @@
     said
 }
 
-fn judged(done: &[(Millis, What)], more: &[Said]) -> Figures {
+fn judged(done: &[(Millis, FaultAction)], more: &[LoggedEvent]) -> Figures {
     let mut said = calm();
     said.extend_from_slice(more);
     said.sort_by(|a, b| a.at.total_cmp(&b.at));
-    judge(&truth(done), &said)
+    evaluate(&truth(done), &said)
 }
 
 #[test]
@@ -46,8 +51,8 @@
 #[test]
 fn one_that_is_cut_off_must_know_it_before_the_word_and_one_that_stood_still_when_it_wakes() {
     let cut = [
-        (5000.0, What::Links(vec![Cut::Apart(vec![1])], Link::default())),
-        (20_000.0, What::Links(Vec::new(), Link::default())),
+        (5000.0, FaultAction::Links(vec![Cut::Apart(vec![1])], Link::default())),
+        (20_000.0, FaultAction::Links(Vec::new(), Link::default())),
     ];
     let gone = of(11_000.0, 0, 1, State::Gone);
     let knew = stands(9500.0, 1, QuorumStatus::CutOff, 9400.0);
@@ -57,7 +62,7 @@
         1
     );
     assert_eq!(judged(&cut, &[gone.clone(), knew]).false_gone, 0);
-    let stop = [(5000.0, What::Stop(vec![1])), (15_000.0, What::Resume(vec![1]))];
+    let stop = [(5000.0, FaultAction::Stop(vec![1])), (15_000.0, FaultAction::Resume(vec![1]))];
     let wakes = stands(15_001.0, 1, QuorumStatus::CutOff, 9400.0);
     assert_eq!(judged(&stop, &[gone.clone(), wakes]).knows_first, 0);
     assert_eq!(judged(&stop, &[gone]).knows_first, 1, "it woke and took itself for standing");
@@ -65,13 +70,13 @@
 
 #[test]
 fn deaths_that_show_late_or_never_heals_that_take_long_and_views_that_stay_wrong_are_seen() {
-    let dies = [(5000.0, What::Kill(vec![1])), (25_000.0, What::Start(vec![1]))];
+    let dies = [(5000.0, FaultAction::Kill(vec![1])), (25_000.0, FaultAction::Start(vec![1]))];
     let figures = judged(&dies, &[of(6900.0, 0, 1, State::Suspect), of(12_000.0, 0, 1, State::Gone)]);
     assert_eq!((figures.suspect_ms, figures.gone_ms), (vec![1900.0, 99_999.0], vec![7000.0, 99_999.0]));
     assert_eq!(figures.views_differ_ms, None, "nobody has its new start");
     let cut = [
-        (5000.0, What::Links(vec![Cut::Apart(vec![1])], Link::default())),
-        (20_000.0, What::Links(Vec::new(), Link::default())),
+        (5000.0, FaultAction::Links(vec![Cut::Apart(vec![1])], Link::default())),
+        (20_000.0, FaultAction::Links(Vec::new(), Link::default())),
     ];
     let away = [stands(9500.0, 1, QuorumStatus::CutOff, 9400.0), of(8000.0, 0, 1, State::Suspect)];
     let back = |at: Millis| [stands(at, 1, QuorumStatus::Majority, at), of(at, 0, 1, State::Alive)];
--- a/crates/frostturn-lab/src/fleet/schedule.rs
+++ b/crates/frostturn-lab/src/fleet/schedule.rs
@@ -40,7 +40,7 @@
 
 /// One thing that is done.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum What {
+pub enum FaultAction {
     /// These end at once.
     Kill(Vec<usize>),
     /// New processes of these.
@@ -63,7 +63,7 @@
     /// From the beginning.
     pub at_ms: Millis,
     /// What.
-    pub what: What,
+    pub what: FaultAction,
 }
 
 /// A schedule, in order of time.
@@ -82,15 +82,15 @@
     pub fn draw(seed: u64, routers: usize, span_ms: Millis) -> Self {
         let mut rng = StdRng::seed_from_u64(seed ^ 0xf1ee_7000);
         let mut steps = Vec::new();
-        let mut add = |at_ms: Millis, what: What| steps.push(Step { at_ms: at_ms.round(), what });
+        let mut add = |at_ms: Millis, what: FaultAction| steps.push(Step { at_ms: at_ms.round(), what });
         let end = span_ms - LAST_MS;
         // Deaths that last, beside all else: one or up to a third.
         let most = (routers / 3).max(1);
         let count = if rng.random() { 1 } else { most };
         let dead = some(&mut rng, routers, count);
         let at = FIRST_MS + rng.random_range(0.0..3000.0);
-        add(at, What::Kill(dead.clone()));
-        add((at + DEATH_MS).min(end), What::Start(dead.clone()));
+        add(at, FaultAction::Kill(dead.clone()));
+        add((at + DEATH_MS).min(end), FaultAction::Start(dead.clone()));
         let (back, mut at) = ((at + DEATH_MS).min(end), FIRST_MS + rng.random_range(0.0..1500.0));
         while at + 1500.0 < end {
             let for_ms = rng.random_range(2500.0..6000.0f64).min(end - at);
@@ -115,25 +115,25 @@
                     let still = [500.0, 3000.0, 10_000.0][rng.random_range(0..3)];
                     heals = (at + still).min(end);
                     let these = if beside || rng.random() { vec![one] } else { third };
-                    add(at, What::Stop(these.clone()));
-                    add(heals, What::Resume(these));
+                    add(at, FaultAction::Stop(these.clone()));
+                    add(heals, FaultAction::Resume(these));
                 }
                 1 => {
-                    add(at, What::Late(one, 300.0));
-                    add(heals, What::Late(one, 0.0));
+                    add(at, FaultAction::Late(one, 300.0));
+                    add(heals, FaultAction::Late(one, 0.0));
                 }
-                2 | 3 => add(at, What::Links(Vec::new(), rough)),
-                4 => add(at, What::Links(vec![Cut::OneWay(one, living[1 % living.len()])], calm)),
-                5 => add(at, What::Links(vec![Cut::Mute(one)], calm)),
-                6 => add(at, What::Links(vec![Cut::Deaf(one)], calm)),
-                7 => add(at, What::Links(vec![Cut::Chain], calm)),
-                8 => add(at, What::Links(vec![Cut::Apart((0..routers / 2).collect())], calm)),
-                9 => add(at, What::Links(vec![Cut::Apart(third)], rough)),
+                2 | 3 => add(at, FaultAction::Links(Vec::new(), rough)),
+                4 => add(at, FaultAction::Links(vec![Cut::OneWay(one, living[1 % living.len()])], calm)),
+                5 => add(at, FaultAction::Links(vec![Cut::Mute(one)], calm)),
+                6 => add(at, FaultAction::Links(vec![Cut::Deaf(one)], calm)),
+                7 => add(at, FaultAction::Links(vec![Cut::Chain], calm)),
+                8 => add(at, FaultAction::Links(vec![Cut::Apart((0..routers / 2).collect())], calm)),
+                9 => add(at, FaultAction::Links(vec![Cut::Apart(third)], rough)),
                 10 => {
                     let mut flips = at;
                     while flips + 2000.0 < (at + 8000.0).min(end) {
-                        add(flips, What::Links(vec![Cut::Apart(vec![one])], calm));
-                        add(flips + 2000.0, What::Links(Vec::new(), calm));
+                        add(flips, FaultAction::Links(vec![Cut::Apart(vec![one])], calm));
+                        add(flips + 2000.0, FaultAction::Links(Vec::new(), calm));
                         flips += 4000.0;
                         heals = flips - 2000.0;
                     }
@@ -141,16 +141,16 @@
                 }
                 11 => {
                     // A new start at once.
-                    add(at, What::Kill(vec![one]));
+                    add(at, FaultAction::Kill(vec![one]));
                     heals = at + 200.0;
-                    add(heals, What::Start(vec![one]));
+                    add(heals, FaultAction::Start(vec![one]));
                 }
                 _ => {
-                    add(at, What::Junk(one, 50_000));
-                    add(heals, What::Junk(one, 0));
+                    add(at, FaultAction::Junk(one, 50_000));
+                    add(heals, FaultAction::Junk(one, 0));
                 }
             }
-            add(heals, What::Links(Vec::new(), calm));
+            add(heals, FaultAction::Links(Vec::new(), calm));
             at = heals + AFTER_MS + rng.random_range(0.0..800.0);
         }
         steps.retain(|step| step.at_ms <= end);
@@ -174,7 +174,7 @@
     }
 
     /// When the last fault is over.
-    pub fn over_ms(&self) -> Millis {
+    pub fn last_step_ms(&self) -> Millis {
         self.0.last().map_or(0.0, |step| step.at_ms)
     }
 }
--- a/crates/frostturn-lab/src/fleet/schedule/tests.rs
+++ b/crates/frostturn-lab/src/fleet/schedule/tests.rs
@@ -6,14 +6,14 @@
         let drawn = Schedule::draw(seed, 12, 40_000.0);
         assert_eq!(drawn, Schedule::draw(seed, 12, 40_000.0));
         assert_eq!(Schedule::read(&drawn.print()).as_ref(), Ok(&drawn));
-        assert!(drawn.over_ms() <= 40_000.0 - LAST_MS && drawn.0.len() >= 4, "{drawn:?}");
+        assert!(drawn.last_step_ms() <= 40_000.0 - LAST_MS && drawn.0.len() >= 4, "{drawn:?}");
         // Whoever is killed or stopped comes back.
         let back = |step: &Step| match &step.what {
-            What::Kill(these) => {
-                drawn.0.iter().any(|s| s.at_ms > step.at_ms && s.what == What::Start(these.clone()))
+            FaultAction::Kill(these) => {
+                drawn.0.iter().any(|s| s.at_ms > step.at_ms && s.what == FaultAction::Start(these.clone()))
             }
-            What::Stop(these) => {
-                drawn.0.iter().any(|s| s.at_ms > step.at_ms && s.what == What::Resume(these.clone()))
+            FaultAction::Stop(these) => {
+                drawn.0.iter().any(|s| s.at_ms > step.at_ms && s.what == FaultAction::Resume(these.clone()))
             }
             _ => true,
         };
--- a/crates/frostturn-lab/src/fleet/sim.rs
+++ b/crates/frostturn-lab/src/fleet/sim.rs
@@ -1,7 +1,7 @@
 //! A fleet of the daemon's own pure machines in simulated time: clocks that differ, links that fail, standstills.
 
-use super::check::{Said, Word};
-use super::schedule::{Cut, Millis, Schedule, What};
+use super::check::{FleetEvent, LoggedEvent};
+use super::schedule::{Cut, FaultAction, Millis, Schedule};
 use crate::relay::Link;
 use frostturn::fleet::settings::MAX_CLOCK_DRIFT;
 use frostturn::fleet::{Effect, Fleet, PeerAddress, Settings};
@@ -13,11 +13,11 @@
 use std::rc::Rc;
 
 /// What a link takes when nothing is wrong, in ms.
-const WIRE_MS: [Millis; 2] = [0.1, 2.0];
+const LINK_DELAY_MS: [Millis; 2] = [0.1, 2.0];
 /// What a process's loop takes before it looks at its timers, in ms.
-const LOOP_MS: Millis = 5.0;
+const LOOP_DELAY_MS: Millis = 5.0;
 /// Datagrams that wait for a process that stands still; the kernel drops what is more.
-const WAITING: usize = 300;
+const RECEIVE_BUFFER_DATAGRAMS: usize = 300;
 
 /// The start of whoever begins with the run.
 const FIRST_START: u64 = 1_800_000_000_000;
@@ -40,24 +40,24 @@
     offset: Millis,
     rate: f64,
     stopped: bool,
-    late_ms: Millis,
-    waiting: VecDeque<Rc<[u8]>>,
+    timer_delay_ms: Millis,
+    receive_buffer: VecDeque<Rc<[u8]>>,
     serial: u64,
     sent: (u64, u64, Millis),
 }
 
 #[derive(Clone, Debug, PartialEq)]
 enum Event {
-    Turn(usize, u64),
+    Timer(usize, u64),
     Arrives(usize, Rc<[u8]>),
     Step(usize),
 }
 
 /// What was played.
 #[derive(Debug)]
-pub struct Played {
+pub struct SimulationResult {
     /// What was said, in order.
-    pub said: Vec<Said>,
+    pub said: Vec<LoggedEvent>,
     /// The starts of each router, by the numbers that they gave themselves.
     pub starts: Vec<Vec<u64>>,
     /// What it cost.
@@ -65,7 +65,7 @@
 }
 
 /// Plays a schedule with so many routers.
-pub fn play(schedule: &Schedule, routers: usize, seed: u64, until: Millis) -> Played {
+pub fn simulate(schedule: &Schedule, routers: usize, seed: u64, until: Millis) -> SimulationResult {
     let mut sim = Sim::new(schedule, routers, seed);
     sim.run(until);
     let cost = |node: &Node| {
@@ -80,7 +80,7 @@
     sim.said.sort_by(|a, b| a.at.total_cmp(&b.at));
     let starts = sim.nodes.iter().map(|node| node.starts.clone()).collect();
     let cost = Cost { datagrams_s: most.0, bytes_s: most.1 };
-    Played { said: sim.said, starts, cost }
+    SimulationResult { said: sim.said, starts, cost }
 }
 
 struct Sim {
@@ -92,8 +92,8 @@
     serial: u64,
     now: Millis,
     cuts: Vec<Cut>,
-    weather: Link,
-    said: Vec<Said>,
+    link_behaviour: Link,
+    said: Vec<LoggedEvent>,
     rng: StdRng,
     seed: u64,
 }
@@ -120,8 +120,8 @@
                 offset: rng.random_range(0.0..1e9),
                 rate: 1.0 + rng.random_range(-MAX_CLOCK_DRIFT / 2.0..MAX_CLOCK_DRIFT / 2.0),
                 stopped: false,
-                late_ms: 0.0,
-                waiting: VecDeque::new(),
+                timer_delay_ms: 0.0,
+                receive_buffer: VecDeque::new(),
                 serial: 0,
                 sent: (0, 0, 0.0),
             })
@@ -134,7 +134,7 @@
             serial: 0,
             now: 0.0,
             cuts: Vec::new(),
-            weather: Link::default(),
+            link_behaviour: Link::default(),
             said: Vec::new(),
             rng,
             seed,
@@ -168,17 +168,17 @@
         let node = &mut self.nodes[at];
         (node.fleet, node.born, node.stopped) = (fleet.ok(), self.now, false);
         node.starts.push(start);
-        node.waiting.clear();
-        self.next_turn(at);
+        node.receive_buffer.clear();
+        self.schedule_timer(at);
     }
 
-    fn next_turn(&mut self, at: usize) {
+    fn schedule_timer(&mut self, at: usize) {
         let node = &mut self.nodes[at];
         let Some(fleet) = &node.fleet else { return };
         node.serial += 1;
-        let due = (fleet.next_deadline() - node.offset) / node.rate + node.late_ms;
-        let (due, serial) = (due + self.rng.random::<f64>() * LOOP_MS, node.serial);
-        self.at(due, Event::Turn(at, serial));
+        let due = (fleet.next_deadline() - node.offset) / node.rate + node.timer_delay_ms;
+        let (due, serial) = (due + self.rng.random::<f64>() * LOOP_DELAY_MS, node.serial);
+        self.at(due, Event::Timer(at, serial));
     }
 
     fn run(&mut self, until: Millis) {
@@ -188,10 +188,10 @@
                 return;
             }
             match self.bodies.remove(&serial) {
-                Some(Event::Turn(at, serial))
+                Some(Event::Timer(at, serial))
                     if self.nodes[at].serial == serial && !self.nodes[at].stopped =>
                 {
-                    self.turn(at);
+                    self.run_timers(at);
                 }
                 Some(Event::Arrives(at, bytes)) => self.arrives(at, bytes),
                 Some(Event::Step(step)) => {
@@ -203,10 +203,10 @@
         }
     }
 
-    fn turn(&mut self, at: usize) {
+    fn run_timers(&mut self, at: usize) {
         let clock = self.clock(at);
         // What waited is read before anybody is judged.
-        while let Some(bytes) = self.nodes[at].waiting.pop_front() {
+        while let Some(bytes) = self.nodes[at].receive_buffer.pop_front() {
             if let Some(fleet) = &mut self.nodes[at].fleet {
                 let _ = fleet.receive(clock, &bytes);
             }
@@ -215,7 +215,7 @@
             fleet.tick(clock);
         }
         self.effects(at);
-        self.next_turn(at);
+        self.schedule_timer(at);
     }
 
     fn arrives(&mut self, at: usize, bytes: Rc<[u8]>) {
@@ -223,8 +223,8 @@
         let node = &mut self.nodes[at];
         let Some(fleet) = &mut node.fleet else { return };
         if node.stopped {
-            if node.waiting.len() < WAITING {
-                node.waiting.push_back(bytes);
+            if node.receive_buffer.len() < RECEIVE_BUFFER_DATAGRAMS {
+                node.receive_buffer.push_back(bytes);
             }
             return;
         }
@@ -237,21 +237,21 @@
         let effects = fleet.take_effects();
         let start = self.nodes[at].starts.len() - 1;
         for effect in effects {
-            let word = match effect {
+            let event = match effect {
                 Effect::Send { to, bytes } => {
                     self.send(at, number(to), bytes.into());
                     continue;
                 }
-                Effect::QuorumChanged { status: says, term, ago_ms, .. } => {
-                    Word::Standing { says, term, since: self.now - ago_ms / self.nodes[at].rate }
+                Effect::QuorumChanged { status, term, ago_ms, .. } => {
+                    FleetEvent::StatusChanged { status, term, since: self.now - ago_ms / self.nodes[at].rate }
                 }
                 Effect::MemberChanged { name, start, term, states: (_, state), .. } => {
                     let other = name[1..].parse().unwrap_or(usize::MAX);
-                    Word::Of { other, start, term, state }
+                    FleetEvent::MemberChanged { other, start, term, state }
                 }
                 Effect::Stalled(_) | Effect::StartRaised(_) => continue,
             };
-            self.said.push(Said { at: self.now, by: at, start, word });
+            self.said.push(LoggedEvent { at: self.now, by: at, start, event });
         }
     }
 
@@ -261,34 +261,36 @@
         if self.cuts.iter().any(|cut| cut.cuts(from, to)) {
             return;
         }
-        for after in self.weather.draw(&mut self.rng) {
-            let wire = self.rng.random_range(WIRE_MS[0]..WIRE_MS[1]);
+        for after in self.link_behaviour.draw(&mut self.rng) {
+            let wire = self.rng.random_range(LINK_DELAY_MS[0]..LINK_DELAY_MS[1]);
             self.at(self.now + after + wire, Event::Arrives(to, bytes.clone()));
         }
     }
 
-    fn step(&mut self, what: What) {
+    fn step(&mut self, what: FaultAction) {
         match what {
-            What::Kill(these) => these.into_iter().for_each(|at| self.nodes[at].fleet = None),
-            What::Start(these) => {
+            FaultAction::Kill(these) => these.into_iter().for_each(|at| self.nodes[at].fleet = None),
+            FaultAction::Start(these) => {
                 for at in these {
                     if self.nodes[at].fleet.is_none() {
                         self.start(at);
                     }
                 }
             }
-            What::Stop(these) => these.into_iter().for_each(|at| self.nodes[at].stopped = true),
-            What::Resume(these) => {
+            FaultAction::Stop(these) => these.into_iter().for_each(|at| self.nodes[at].stopped = true),
+            FaultAction::Resume(these) => {
                 for at in these {
                     if std::mem::replace(&mut self.nodes[at].stopped, false) && self.nodes[at].fleet.is_some()
                     {
-                        self.turn(at);
+                        self.run_timers(at);
                     }
                 }
             }
-            What::Links(cuts, weather) => (self.cuts, self.weather) = (cuts, weather),
-            What::Late(at, late_ms) => self.nodes[at].late_ms = late_ms,
-            What::Junk(..) => {} // Refused by its bytes: nothing of the machine's state is touched.
+            FaultAction::Links(cuts, link_behaviour) => {
+                (self.cuts, self.link_behaviour) = (cuts, link_behaviour)
+            }
+            FaultAction::Late(at, timer_delay_ms) => self.nodes[at].timer_delay_ms = timer_delay_ms,
+            FaultAction::Junk(..) => {} // Refused by its bytes: nothing of the machine's state is touched.
         }
     }
 }
--- a/crates/frostturn-lab/src/fleet/sim/tests.rs
+++ b/crates/frostturn-lab/src/fleet/sim/tests.rs
@@ -1,4 +1,4 @@
-use super::super::check::{judge, Figures, Truth};
+use super::super::check::{evaluate, Figures, GroundTruth};
 use super::*;
 
 const SPAN_MS: Millis = 40_000.0;
@@ -7,9 +7,10 @@
 
 fn played(seed: u64, routers: usize) -> (Figures, Cost) {
     let schedule = Schedule::draw(seed, routers, SPAN_MS);
-    let Played { said, starts, cost } = play(&schedule, routers, seed, SPAN_MS);
-    let done: Vec<(Millis, What)> = schedule.0.iter().map(|step| (step.at_ms, step.what.clone())).collect();
-    (judge(&Truth::new(0.0, &done, starts, SPAN_MS), &said), cost)
+    let SimulationResult { said, starts, cost } = simulate(&schedule, routers, seed, SPAN_MS);
+    let done: Vec<(Millis, FaultAction)> =
+        schedule.0.iter().map(|step| (step.at_ms, step.what.clone())).collect();
+    (evaluate(&GroundTruth::new(0.0, &done, starts, SPAN_MS), &said), cost)
 }
 
 #[test]
--- a/crates/frostturn-lab/src/machines.rs
+++ b/crates/frostturn-lab/src/machines.rs
@@ -1,4 +1,4 @@
-//! Stand-in machines: cache boxes, parents and origin that speak RESP over several ways, each with its own
+//! Stand-in machines: cache boxes, parents and origin that speak RESP over several endpoints, each with its own
 //! failure.
 
 use crate::check::Millis;
@@ -17,10 +17,10 @@
 use std::thread;
 use std::time::Duration;
 
-/// How soon a stand-in notices that its way fails.
-const LOOK_MS: u64 = 10;
+/// How soon a stand-in notices that its endpoint fails.
+const POLL_INTERVAL_MS: u64 = 10;
 /// Bytes of an answer's body.
-const BODY: usize = 1200;
+const BODY_BYTES: usize = 1200;
 /// Requests that a machine sends at once, the time that one takes, and so what a warm one can do in a second. The
 /// parent and the origin are as large as they need be.
 pub const LANES: usize = 2;
@@ -31,11 +31,11 @@
 pub const COLD_FROM: f64 = 0.25;
 pub const COLD_MS: Millis = 4000.0;
 /// How long after a purge a machine still holds copies from before: the settings say that after 6 s none does.
-const GONE_MS: Millis = 5500.0;
+const PURGE_DELAY_MS: Millis = 5500.0;
 /// Time over which it counts its load.
-const COUNTED_MS: Millis = 500.0;
+const LOAD_WINDOW_MS: Millis = 500.0;
 
-/// How a way fails.
+/// How a endpoint fails.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u8)]
 pub enum Failure {
@@ -84,26 +84,26 @@
     }
 }
 
-/// Where a way leads.
+/// Where a endpoint leads.
 #[derive(Clone, Debug)]
-pub enum Place {
+pub enum EndpointAddress {
     /// A Unix socket.
     Unix(PathBuf),
     /// TCP.
     Tcp(SocketAddr),
 }
 
-/// One way to a machine.
+/// One endpoint to a machine.
 #[derive(Debug)]
-pub struct Way {
+pub struct Endpoint {
     /// Where it leads.
-    pub place: Place,
+    pub address: EndpointAddress,
     failure: AtomicU8,
-    /// A new listener takes the place of the old one.
+    /// A new listener takes the address of the old one.
     replaced: AtomicU64,
 }
 
-impl Way {
+impl Endpoint {
     /// How it fails now.
     pub fn failure(&self) -> Failure {
         ALL.get(usize::from(self.failure.load(Ordering::SeqCst))).copied().unwrap_or(Failure::None)
@@ -114,7 +114,7 @@
         self.failure.store(failure as u8, Ordering::SeqCst);
     }
 
-    /// Another socket takes its place; what is open goes on.
+    /// Another socket takes its address; what is open goes on.
     pub fn replace(&self) {
         self.replaced.fetch_add(1, Ordering::SeqCst);
     }
@@ -127,21 +127,21 @@
     pub index: usize,
     /// Its name.
     pub name: String,
-    /// Its ways.
-    pub ways: Vec<Way>,
+    /// Its endpoints.
+    pub endpoints: Vec<Endpoint>,
     /// Copies it holds, with the Unix time of each.
-    held: Mutex<HashMap<u64, f64>>,
+    cached: Mutex<HashMap<u64, f64>>,
     /// When objects were last purged, by Unix time. Its own copies go a while later.
     purged: Mutex<HashMap<u64, f64>>,
     /// Until when each of its lanes is busy.
     lanes: Mutex<[Millis; LANES]>,
     /// When its latest requests came.
-    lately: Mutex<VecDeque<Millis>>,
+    recent_requests: Mutex<VecDeque<Millis>>,
     /// When it last started cold, in whole milliseconds; 0: long ago.
-    started: AtomicU64,
+    cold_started_ms: AtomicU64,
     /// How long each of its answers waits beside the others, in milliseconds; 0: they come in turn, at once.
-    wait_ms: AtomicU64,
-    /// Its kind, as the board names it.
+    answer_delay_ms: AtomicU64,
+    /// Its kind, as the discovery names it.
     pub kind: &'static str,
     world: Arc<World>,
 }
@@ -157,24 +157,25 @@
     ) -> io::Result<Arc<Self>> {
         let path = dir.join(format!("{name}.sock"));
         let any: SocketAddr = ([0u16, 0, 0, 0, 0, 0, 0, 1], 0).into();
-        let mut sockets = vec![(listen(&Place::Unix(path.clone()), 128)?, Place::Unix(path))];
-        sockets.push(bound(&Place::Tcp(any))?);
-        sockets.push(bound(&Place::Tcp(world.own.any()))?);
-        let way = |place: &Place| Way {
-            place: place.clone(),
+        let mut sockets =
+            vec![(listen(&EndpointAddress::Unix(path.clone()), 128)?, EndpointAddress::Unix(path))];
+        sockets.push(bound(&EndpointAddress::Tcp(any))?);
+        sockets.push(bound(&EndpointAddress::Tcp(world.loopback.any_port()))?);
+        let endpoint = |address: &EndpointAddress| Endpoint {
+            address: address.clone(),
             failure: AtomicU8::new(0),
             replaced: AtomicU64::new(0),
         };
         let machine = Arc::new(Self {
             index,
             name: name.to_owned(),
-            ways: sockets.iter().map(|(_, place)| way(place)).collect(),
-            held: Mutex::default(),
-            lately: Mutex::default(),
+            endpoints: sockets.iter().map(|(_, address)| endpoint(address)).collect(),
+            cached: Mutex::default(),
+            recent_requests: Mutex::default(),
             purged: Mutex::default(),
             lanes: Mutex::default(),
-            started: AtomicU64::new(0),
-            wait_ms: AtomicU64::new(0),
+            cold_started_ms: AtomicU64::new(0),
+            answer_delay_ms: AtomicU64::new(0),
             kind,
             world: world.clone(),
         });
@@ -185,10 +186,10 @@
         Ok(machine)
     }
 
-    /// The address that the notice board gives.
+    /// The address that the notice discovery gives.
     pub fn address(&self) -> SocketAddr {
-        match self.ways.last().map(|way| &way.place) {
-            Some(Place::Tcp(address)) => *address,
+        match self.endpoints.last().map(|endpoint| &endpoint.address) {
+            Some(EndpointAddress::Tcp(address)) => *address,
             _ => ([127, 0, 0, 1], 0).into(),
         }
     }
@@ -199,8 +200,8 @@
     }
 
     /// Each answer waits so long from now on, beside the others.
-    pub fn wait(&self, wait_ms: u64) {
-        self.wait_ms.store(wait_ms, Ordering::SeqCst);
+    pub fn set_answer_delay(&self, wait_ms: u64) {
+        self.answer_delay_ms.store(wait_ms, Ordering::SeqCst);
     }
 
     /// Writes an answer after a wait, in whatever order with others.
@@ -214,19 +215,19 @@
     }
 
     /// Started anew, it holds nothing and is cold.
-    pub fn forget(&self) {
-        self.started.store(self.world.now().max(1.0) as u64, Ordering::SeqCst);
-        self.held.lock().unwrap_or_else(|poisoned| poisoned.into_inner()).clear();
+    pub fn restart_cold(&self) {
+        self.cold_started_ms.store(self.world.now().max(1.0) as u64, Ordering::SeqCst);
+        self.cached.lock().unwrap_or_else(|poisoned| poisoned.into_inner()).clear();
     }
 
     /// Listens on one way, as its failure lets it.
     fn listen(self: Arc<Self>, at: usize, first: Socket) {
-        let way = &self.ways[at];
+        let endpoint = &self.endpoints[at];
         let (mut listener, mut is, mut replaced) = (Some(first), Failure::None, 0);
         let mut fillers = Vec::new();
-        while !self.world.over() {
-            let failure = way.failure();
-            let again = way.replaced.load(Ordering::SeqCst) != replaced;
+        while !self.world.ended() {
+            let failure = endpoint.failure();
+            let again = endpoint.replaced.load(Ordering::SeqCst) != replaced;
             if failure != is || again {
                 if again
                     || failure.closed()
@@ -237,7 +238,7 @@
                     drop(listener.take());
                     fillers.clear();
                 }
-                if let Place::Unix(path) = &way.place {
+                if let EndpointAddress::Unix(path) = &endpoint.address {
                     if listener.is_none() {
                         let _ = std::fs::remove_file(path);
                     }
@@ -245,18 +246,18 @@
                         let _ = std::fs::write(path, "no socket");
                     }
                 }
-                (is, replaced) = (failure, way.replaced.load(Ordering::SeqCst));
+                (is, replaced) = (failure, endpoint.replaced.load(Ordering::SeqCst));
             }
             if listener.is_none() && !failure.closed() {
                 let backlog = if failure == Failure::BlackHole { 0 } else { 128 };
-                listener = listen(&way.place, backlog).ok();
+                listener = listen(&endpoint.address, backlog).ok();
                 if failure == Failure::BlackHole {
                     // A full queue drops what would connect: nobody says anything to it.
-                    fillers.extend((0..4).filter_map(|_| filler(&way.place).ok()));
+                    fillers.extend((0..4).filter_map(|_| fill_backlog(&endpoint.address).ok()));
                 }
             }
             let Some(socket) = listener.as_ref().filter(|_| failure != Failure::BlackHole) else {
-                thread::sleep(Duration::from_millis(LOOK_MS));
+                thread::sleep(Duration::from_millis(POLL_INTERVAL_MS));
                 continue;
             };
             if !readable(socket) {
@@ -265,52 +266,52 @@
             if let Ok((stream, _)) = socket.accept() {
                 let now = self.world.now();
                 {
-                    let mut seen = self.world.seen();
+                    let mut seen = self.world.observations();
                     seen.accepts.push((self.index, at, now));
-                    seen.checker.shaken(self.index, now);
+                    seen.checker.connection_accepted(self.index, now);
                 }
                 let machine = self.clone();
                 thread::spawn(move || machine.serve(at, stream, now));
             }
         }
-        if let Place::Unix(path) = &way.place {
+        if let EndpointAddress::Unix(path) = &endpoint.address {
             let _ = std::fs::remove_file(path);
         }
     }
 
-    /// Serves one connection until it or its way ends.
+    /// Serves one connection until it or its endpoint ends.
     fn serve(&self, at: usize, stream: Socket, accepted: Millis) {
-        *self.world.seen().open.entry((self.index, at)).or_default() += 1;
+        *self.world.observations().open_connections.entry((self.index, at)).or_default() += 1;
         self.serve_one(at, stream, accepted);
-        *self.world.seen().open.entry((self.index, at)).or_default() -= 1;
+        *self.world.observations().open_connections.entry((self.index, at)).or_default() -= 1;
     }
 
     fn serve_one(&self, at: usize, mut stream: Socket, accepted: Millis) {
-        let way = &self.ways[at];
+        let endpoint = &self.endpoints[at];
         let _ = stream.set_nonblocking(false);
-        let _ = stream.set_read_timeout(Some(Duration::from_millis(LOOK_MS)));
+        let _ = stream.set_read_timeout(Some(Duration::from_millis(POLL_INTERVAL_MS)));
         let _ = stream.set_write_timeout(Some(Duration::from_millis(500)));
-        if !matches!(way.place, Place::Unix(_)) {
+        if !matches!(endpoint.address, EndpointAddress::Unix(_)) {
             let _ = stream.set_tcp_nodelay(true);
         }
         let reset = |stream: &Socket| drop(stream.set_linger(Some(Duration::ZERO)));
         let (mut decoder, mut buffer, mut first) = (Decoder::default(), vec![0; 64 * 1024], true);
-        let (mut begun, usurped) = (None, way.failure() == Failure::WrongName);
+        let (mut begun, wrong_machine) = (None, endpoint.failure() == Failure::WrongName);
         let write_lock = Arc::new(Mutex::new(()));
-        while !self.world.over() {
-            let failure = way.failure();
-            if (failure == Failure::WrongName) != usurped {
+        while !self.world.ended() {
+            let failure = endpoint.failure();
+            if (failure == Failure::WrongName) != wrong_machine {
                 return reset(&stream); // Who answers is another process now.
             }
             match failure {
-                // What has come is still answered: its end at rest says nothing about the way.
+                // What has come is still answered: its end at rest says nothing about the endpoint.
                 failure if (failure.closed() || failure == Failure::BlackHole) && !readable_now(&stream) => {
                     return
                 }
                 Failure::ResetUnread => {
                     if readable(&stream) {
                         let now = self.world.now();
-                        self.world.seen().paid.push((self.index, at, now));
+                        self.world.observations().failed_endpoint_requests.push((self.index, at, now));
                         return reset(&stream);
                     }
                     continue;
@@ -332,23 +333,23 @@
             };
             let now = self.world.now();
             decoder.feed(&buffer[..bytes]);
-            let (mut out, mut hello) = (Vec::new(), false);
+            let (mut out, mut greeting) = (Vec::new(), false);
             loop {
                 let parts = match decoder.next_frame() {
                     Ok(Some(parts)) => parts,
                     Ok(None) => break,
                     Err(_) => return,
                 };
-                let (name, wrong) = (&self.name, usurped);
+                let (name, wrong) = (&self.name, wrong_machine);
                 match &parts[..] {
                     [verb, tag] if verb == b"HELO" || verb == b"STAT" => {
-                        hello = true;
+                        greeting = true;
                         let name = if wrong { "somebody-else" } else { name };
-                        let fields = format!("name={name},{}", self.meter(false));
+                        let fields = format!("name={name},{}", self.load_report(false));
                         out.extend(frame(&[tag, b"FIT", fields.as_bytes(), b""]));
                     }
                     [verb, id, fields, body] if verb == b"REQ" => {
-                        self.came(
+                        self.request_arrived(
                             at,
                             id,
                             begun.unwrap_or(now),
@@ -358,13 +359,13 @@
                             wrong,
                         );
                         let answer = self.answer(id, fields, body);
-                        match self.wait_ms.load(Ordering::SeqCst) {
+                        match self.answer_delay_ms.load(Ordering::SeqCst) {
                             wait_ms if wait_ms > 0 && failure == Failure::None => {
                                 self.answer_later(&stream, &write_lock, answer, wait_ms);
                             }
                             _ => {
                                 out.extend(answer);
-                                self.take_time();
+                                self.occupy_lane();
                             }
                         }
                     }
@@ -377,12 +378,12 @@
             }
             match failure {
                 Failure::NeverAnswers => continue,
-                Failure::StallsAfterRead if !hello => continue,
-                Failure::ResetRead if !hello && !out.is_empty() => return reset(&stream),
-                Failure::StallsHalfway if !hello && !out.is_empty() => {
+                Failure::StallsAfterRead if !greeting => continue,
+                Failure::ResetRead if !greeting && !out.is_empty() => return reset(&stream),
+                Failure::StallsHalfway if !greeting && !out.is_empty() => {
                     let _ = stream.write_all(&out[..out.len() / 2]);
-                    while way.failure() == Failure::StallsHalfway && !self.world.over() {
-                        thread::sleep(Duration::from_millis(LOOK_MS));
+                    while endpoint.failure() == Failure::StallsHalfway && !self.world.ended() {
+                        thread::sleep(Duration::from_millis(POLL_INTERVAL_MS));
                     }
                     return;
                 }
@@ -397,9 +398,9 @@
 
     /// A request has come whole: it may run.
     #[allow(clippy::too_many_arguments)]
-    fn came(
+    fn request_arrived(
         &self,
-        way: usize,
+        endpoint: usize,
         id: &[u8],
         begun: Millis,
         at: Millis,
@@ -408,32 +409,36 @@
         wrong: bool,
     ) {
         let id = std::str::from_utf8(id).ok().and_then(|id| u64::from_str_radix(id, 16).ok()).unwrap_or(0);
-        let mut seen = self.world.seen();
+        let mut seen = self.world.observations();
         let again = seen.checker.arrived(id, self.index, begun);
         seen.arrivals.push((self.index, at));
         seen.wrong_name += u64::from(wrong);
-        if let Some(sent) = seen.checker.sent(id) {
+        if let Some(sent) = seen.checker.sent_at(id) {
             if first && !again {
-                seen.firsts.push(First { machine: self.index, way, at, after_ms: at - sent });
+                seen.first_requests.push(First { machine: self.index, endpoint, at, after_ms: at - sent });
             } else if !again {
-                seen.usual.push(at - sent);
+                seen.usual_delays_ms.push(at - sent);
             }
         }
-        seen.paid.extend(dead(self.ways[way].failure()).then_some((self.index, way, at)));
-        let taken = seen.taken_away.get(&(self.index, way)).is_some_and(|since| accepted > since + 1000.0);
+        seen.failed_endpoint_requests
+            .extend(loses_requests(self.endpoints[endpoint].failure()).then_some((self.index, endpoint, at)));
+        let taken = seen
+            .removed_endpoints
+            .get(&(self.index, endpoint))
+            .is_some_and(|since| accepted > since + 1000.0);
         seen.after_reload += u64::from(taken);
     }
 
     /// Part of its capacity that it has by now.
-    fn warm(&self, now: Millis) -> f64 {
-        match self.started.load(Ordering::SeqCst) {
+    fn capacity_share(&self, now: Millis) -> f64 {
+        match self.cold_started_ms.load(Ordering::SeqCst) {
             0 => 1.0,
             at => (COLD_FROM + (1.0 - COLD_FROM) * (now - at as f64) / COLD_MS).min(1.0),
         }
     }
 
     /// A request waits for a lane and is sent.
-    fn take_time(&self) {
+    fn occupy_lane(&self) {
         if self.kind != "std" {
             return;
         }
@@ -441,24 +446,25 @@
         let done = {
             let mut lanes = self.lanes.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
             lanes.sort_by(f64::total_cmp);
-            lanes[0] = lanes[0].max(now) + SEND_MS / self.warm(now);
+            lanes[0] = lanes[0].max(now) + SEND_MS / self.capacity_share(now);
             lanes[0]
         };
         thread::sleep(Duration::from_secs_f64((done - now) / 1e3));
     }
 
     /// Its load report: what it does now, by what it could.
-    fn meter(&self, came: bool) -> String {
+    fn load_report(&self, came: bool) -> String {
         let now = self.world.now();
-        let mut lately = self.lately.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
+        let mut recent_requests =
+            self.recent_requests.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
         if came {
-            lately.push_back(now);
+            recent_requests.push_back(now);
         }
-        while lately.front().is_some_and(|at| *at < now - COUNTED_MS) {
-            lately.pop_front();
+        while recent_requests.front().is_some_and(|at| *at < now - LOAD_WINDOW_MS) {
+            recent_requests.pop_front();
         }
-        let capacity = self.warm(now) * if self.kind == "std" { CAPACITY } else { UPPER_CAPACITY };
-        let util = lately.len() as f64 * 1e3 / COUNTED_MS / capacity;
+        let capacity = self.capacity_share(now) * if self.kind == "std" { CAPACITY } else { UPPER_CAPACITY };
+        let util = recent_requests.len() as f64 * 1e3 / LOAD_WINDOW_MS / capacity;
         format!("meter=inflight:1;util:{:.3}", util.min(1.0))
     }
 
@@ -472,11 +478,11 @@
                 .map(|(_, v)| v)
         };
         let object = get("item").and_then(|item| u64::from_str_radix(item, 16).ok());
-        let mut held = self.held.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
+        let mut held = self.cached.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
         let now = unix_ms();
         let purged = self.purged.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
         let purged = object.and_then(|object| purged.get(&object).copied());
-        if let (Some(object), Some(made)) = (object, purged.filter(|made| now >= made + GONE_MS)) {
+        if let (Some(object), Some(made)) = (object, purged.filter(|made| now >= made + PURGE_DELAY_MS)) {
             held.retain(|held, stamp| *held != object || *stamp >= made);
         }
         // What is held and young enough is served; else it is filled, if a source is named.
@@ -492,33 +498,33 @@
         if let Some(object) = object {
             held.insert(object, stamp);
             if self.kind == "std" {
-                let mut seen = self.world.seen();
-                let (from, all) = &mut seen.held[usize::from(object % GROUPS != PHOTOS)];
+                let mut seen = self.world.observations();
+                let (from, all) = &mut seen.cache_answers[usize::from(object % GROUPS != PHOTOS)];
                 (*from, *all) = (*from + u64::from(tell == "cached"), *all + 1);
             }
         }
         let mut bytes = format!("{stamp:.0}\n").into_bytes();
         bytes.extend_from_slice(body);
-        bytes.resize(BODY, b'.');
-        let fields = format!("tell={tell},version=ab,stamp={stamp:.0},took=1,{}", self.meter(true));
+        bytes.resize(BODY_BYTES, b'.');
+        let fields = format!("tell={tell},version=ab,stamp={stamp:.0},took=1,{}", self.load_report(true));
         frame(&[id, b"DONE", fields.as_bytes(), &bytes])
     }
 }
 
-/// Whether what comes on a way that fails so is lost.
-fn dead(failure: Failure) -> bool {
+/// Whether what comes on a endpoint that fails so is lost.
+fn loses_requests(failure: Failure) -> bool {
     !matches!(failure, Failure::None)
 }
 
-fn address(place: &Place) -> io::Result<(Domain, SockAddr)> {
-    Ok(match place {
-        Place::Unix(path) => (Domain::UNIX, SockAddr::unix(path)?),
-        Place::Tcp(address) => (Domain::for_address(*address), (*address).into()),
+fn socket_address(address: &EndpointAddress) -> io::Result<(Domain, SockAddr)> {
+    Ok(match address {
+        EndpointAddress::Unix(path) => (Domain::UNIX, SockAddr::unix(path)?),
+        EndpointAddress::Tcp(address) => (Domain::for_address(*address), (*address).into()),
     })
 }
 
-fn listen(place: &Place, backlog: i32) -> io::Result<Socket> {
-    let (domain, address) = address(place)?;
+fn listen(address: &EndpointAddress, backlog: i32) -> io::Result<Socket> {
+    let (domain, address) = socket_address(address)?;
     let socket = Socket::new(domain, Type::STREAM, None)?;
     if domain != Domain::UNIX {
         socket.set_reuse_address(true)?;
@@ -528,14 +534,14 @@
     Ok(socket)
 }
 
-fn bound(place: &Place) -> io::Result<(Socket, Place)> {
-    let socket = listen(place, 128)?;
+fn bound(address: &EndpointAddress) -> io::Result<(Socket, EndpointAddress)> {
+    let socket = listen(address, 128)?;
     let address = socket.local_addr()?.as_socket().ok_or(io::ErrorKind::AddrNotAvailable)?;
-    Ok((socket, Place::Tcp(address)))
+    Ok((socket, EndpointAddress::Tcp(address)))
 }
 
-fn filler(place: &Place) -> io::Result<Socket> {
-    let (domain, address) = address(place)?;
+fn fill_backlog(address: &EndpointAddress) -> io::Result<Socket> {
+    let (domain, address) = socket_address(address)?;
     let socket = Socket::new(domain, Type::STREAM, None)?;
     socket.set_nonblocking(true)?;
     let _ = socket.connect(&address);
@@ -543,7 +549,7 @@
 }
 
 fn readable(socket: &Socket) -> bool {
-    readable_within(socket, LOOK_MS)
+    readable_within(socket, POLL_INTERVAL_MS)
 }
 
 fn readable_now(socket: &Socket) -> bool {
--- a/crates/frostturn-lab/src/relay.rs
+++ b/crates/frostturn-lab/src/relay.rs
@@ -12,12 +12,12 @@
 use std::time::{Duration, Instant};
 
 /// Longest sleep of the relays' thread.
-const LOOK_MS: u64 = 20;
-/// Datagrams held back at once, in all; what is more is lost.
-const MOST_HELD: usize = 10_000;
+const POLL_INTERVAL_MS: u64 = 20;
+/// Datagrams delayed back at once, in all; what is more is lost.
+const MAX_DELAYED: usize = 10_000;
 
 /// Datagrams that are kept, to be sent again as junk.
-const LATEST: usize = 500;
+const MAX_RECENT: usize = 500;
 
 /// How a link behaves. Drawn for each datagram by itself, so that different delays reorder.
 #[derive(Clone, Copy, Debug, Default, PartialEq, serde::Serialize, serde::Deserialize)]
@@ -28,7 +28,7 @@
     pub lose: f64,
     /// Part that comes twice.
     pub double: f64,
-    /// Longest time for which one is held back, in ms.
+    /// Longest time for which one is delayed back, in ms.
     pub delay_ms: f64,
 }
 
@@ -50,78 +50,78 @@
 #[derive(Debug)]
 pub struct Relays {
     links: Links,
-    listens: Arc<Mutex<Vec<SocketAddr>>>,
+    listen_addresses: Arc<Mutex<Vec<SocketAddr>>>,
     /// Where each sends what is for each other one.
-    ways: Vec<Vec<Option<SocketAddr>>>,
-    /// Datagrams that passed, and some of the latest.
-    pub passed: Arc<AtomicU64>,
-    pub latest: Arc<Mutex<VecDeque<Vec<u8>>>>,
-    over: Arc<AtomicBool>,
+    addresses: Vec<Vec<Option<SocketAddr>>>,
+    /// Datagrams that forwarded, and some of the recent.
+    pub forwarded: Arc<AtomicU64>,
+    pub recent: Arc<Mutex<VecDeque<Vec<u8>>>>,
+    stopping: Arc<AtomicBool>,
     thread: Option<JoinHandle<()>>,
 }
 
-struct Held {
-    due: Instant,
+struct DelayedDatagram {
+    deliver_at: Instant,
     serial: u64,
-    way: usize,
+    link_index: usize,
     bytes: Vec<u8>,
 }
 
-impl PartialEq for Held {
+impl PartialEq for DelayedDatagram {
     fn eq(&self, other: &Self) -> bool {
         self.cmp(other).is_eq()
     }
 }
-impl Eq for Held {}
-impl PartialOrd for Held {
+impl Eq for DelayedDatagram {}
+impl PartialOrd for DelayedDatagram {
     fn partial_cmp(&self, other: &Self) -> Option<std::cmp::Ordering> {
         Some(self.cmp(other))
     }
 }
-impl Ord for Held {
+impl Ord for DelayedDatagram {
     /// The earliest is the greatest.
     fn cmp(&self, other: &Self) -> std::cmp::Ordering {
-        (other.due, other.serial).cmp(&(self.due, self.serial))
+        (other.deliver_at, other.serial).cmp(&(self.deliver_at, self.serial))
     }
 }
 
 impl Relays {
     /// Relays between routers that listen there.
-    pub fn start(listens: &[SocketAddr], seed: u64) -> io::Result<Self> {
-        let count = listens.len();
+    pub fn start(listen_addresses: &[SocketAddr], seed: u64) -> io::Result<Self> {
+        let count = listen_addresses.len();
         let links: Links = Arc::new(Mutex::new(vec![vec![Link::default(); count]; count]));
-        let (mut ways, mut sockets) = (vec![vec![None; count]; count], Vec::new());
-        for (from, row) in ways.iter_mut().enumerate() {
-            for (to, way) in row.iter_mut().enumerate().filter(|(to, _)| *to != from) {
+        let (mut addresses, mut sockets) = (vec![vec![None; count]; count], Vec::new());
+        for (from, row) in addresses.iter_mut().enumerate() {
+            for (to, link_index) in row.iter_mut().enumerate().filter(|(to, _)| *to != from) {
                 let socket = UdpSocket::bind("127.0.0.1:0")?;
                 socket.set_nonblocking(true)?;
-                *way = Some(socket.local_addr()?);
+                *link_index = Some(socket.local_addr()?);
                 sockets.push((from, to, socket));
             }
         }
-        let (over, passed) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicU64::new(0)));
-        let heard = Arc::new(Mutex::new(listens.to_vec()));
-        let latest = Arc::new(Mutex::new(VecDeque::new()));
-        let carried = Carrier {
+        let (stopping, forwarded) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicU64::new(0)));
+        let shared_addresses = Arc::new(Mutex::new(listen_addresses.to_vec()));
+        let recent = Arc::new(Mutex::new(VecDeque::new()));
+        let carried = RelayThread {
             links: links.clone(),
-            listens: heard.clone(),
+            listen_addresses: shared_addresses.clone(),
             sockets,
-            passed: passed.clone(),
-            latest: latest.clone(),
+            forwarded: forwarded.clone(),
+            recent: recent.clone(),
         };
-        let ends = over.clone();
-        let thread = Some(thread::spawn(move || carried.run(&ends, seed)));
-        Ok(Self { links, listens: heard, ways, passed, latest, over, thread })
+        let stop = stopping.clone();
+        let thread = Some(thread::spawn(move || carried.run(&stop, seed)));
+        Ok(Self { links, listen_addresses: shared_addresses, addresses, forwarded, recent, stopping, thread })
     }
 
     /// Where one sends what is for another.
-    pub fn way(&self, from: usize, to: usize) -> Option<SocketAddr> {
-        self.ways[from][to]
+    pub fn address(&self, from: usize, to: usize) -> Option<SocketAddr> {
+        self.addresses[from][to]
     }
 
-    /// From now on that router listens there.
-    pub fn moved(&self, to: usize, listen: SocketAddr) {
-        self.listens.lock().unwrap_or_else(|poisoned| poisoned.into_inner())[to] = listen;
+    /// From now on that router listen_addresses there.
+    pub fn set_listen_address(&self, to: usize, listen: SocketAddr) {
+        self.listen_addresses.lock().unwrap_or_else(|poisoned| poisoned.into_inner())[to] = listen;
     }
 
     /// The links, to be changed.
@@ -132,42 +132,43 @@
 
 impl Drop for Relays {
     fn drop(&mut self) {
-        self.over.store(true, Ordering::SeqCst);
+        self.stopping.store(true, Ordering::SeqCst);
         self.thread.take().map(JoinHandle::join);
     }
 }
 
-struct Carrier {
+struct RelayThread {
     links: Links,
-    listens: Arc<Mutex<Vec<SocketAddr>>>,
+    listen_addresses: Arc<Mutex<Vec<SocketAddr>>>,
     sockets: Vec<(usize, usize, UdpSocket)>,
-    passed: Arc<AtomicU64>,
-    latest: Arc<Mutex<VecDeque<Vec<u8>>>>,
+    forwarded: Arc<AtomicU64>,
+    recent: Arc<Mutex<VecDeque<Vec<u8>>>>,
 }
 
-impl Carrier {
-    fn run(self, over: &AtomicBool, seed: u64) {
+impl RelayThread {
+    fn run(self, stopping: &AtomicBool, seed: u64) {
         let mut rng = StdRng::seed_from_u64(seed ^ 0x7e1a);
-        let (mut held, mut serial, mut buffer) = (BinaryHeap::<Held>::new(), 0, vec![0; 4096]);
-        while !over.load(Ordering::SeqCst) {
+        let (mut delayed, mut serial, mut buffer) = (BinaryHeap::<DelayedDatagram>::new(), 0, vec![0; 4096]);
+        while !stopping.load(Ordering::SeqCst) {
             let now = Instant::now();
-            while held.peek().is_some_and(|first| first.due <= now) {
-                let Some(Held { way, bytes, .. }) = held.pop() else { break };
-                let (_, to, socket) = &self.sockets[way];
+            while delayed.peek().is_some_and(|first| first.deliver_at <= now) {
+                let Some(DelayedDatagram { link_index, bytes, .. }) = delayed.pop() else { break };
+                let (_, to, socket) = &self.sockets[link_index];
                 // One that nobody hears is lost, as on a real link.
-                let listen = self.listens.lock().unwrap_or_else(|poisoned| poisoned.into_inner())[*to];
+                let listen =
+                    self.listen_addresses.lock().unwrap_or_else(|poisoned| poisoned.into_inner())[*to];
                 if socket.send_to(&bytes, listen).is_ok() {
-                    self.passed.fetch_add(1, Ordering::Relaxed);
-                    let mut latest = self.latest.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
-                    latest.push_back(bytes);
-                    let over = latest.len().saturating_sub(LATEST);
-                    latest.drain(..over);
+                    self.forwarded.fetch_add(1, Ordering::Relaxed);
+                    let mut recent = self.recent.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
+                    recent.push_back(bytes);
+                    let over = recent.len().saturating_sub(MAX_RECENT);
+                    recent.drain(..over);
                 }
             }
-            let wait = held
-                .peek()
-                .map_or(Duration::from_millis(LOOK_MS), |first| first.due.saturating_duration_since(now));
-            let wait = wait.min(Duration::from_millis(LOOK_MS));
+            let wait = delayed.peek().map_or(Duration::from_millis(POLL_INTERVAL_MS), |first| {
+                first.deliver_at.saturating_duration_since(now)
+            });
+            let wait = wait.min(Duration::from_millis(POLL_INTERVAL_MS));
             let wait = Timespec { tv_sec: 0, tv_nsec: i64::from(wait.subsec_nanos()) };
             let mut fds: Vec<PollFd<'_>> =
                 self.sockets.iter().map(|(.., socket)| PollFd::new(socket, PollFlags::IN)).collect();
@@ -175,15 +176,20 @@
                 continue;
             }
             let ready: Vec<usize> = (0..fds.len()).filter(|at| !fds[*at].revents().is_empty()).collect();
-            for way in ready {
-                let (from, to, socket) = &self.sockets[way];
+            for link_index in ready {
+                let (from, to, socket) = &self.sockets[link_index];
                 while let Ok((bytes, _)) = socket.recv_from(&mut buffer) {
                     let link = self.links.lock().unwrap_or_else(|poisoned| poisoned.into_inner())[*from][*to];
                     for after in link.draw(&mut rng) {
-                        if held.len() < MOST_HELD {
+                        if delayed.len() < MAX_DELAYED {
                             serial += 1;
-                            let due = Instant::now() + Duration::from_secs_f64(after / 1e3);
-                            held.push(Held { due, serial, way, bytes: buffer[..bytes].to_vec() });
+                            let deliver_at = Instant::now() + Duration::from_secs_f64(after / 1e3);
+                            delayed.push(DelayedDatagram {
+                                deliver_at,
+                                serial,
+                                link_index,
+                                bytes: buffer[..bytes].to_vec(),
+                            });
                         }
                     }
                 }
--- a/crates/frostturn-lab/src/rig.rs
+++ b/crates/frostturn-lab/src/rig.rs
@@ -1,6 +1,6 @@
 //! Several real routers, a relay on every link between them, and what can be done to each.
 
-use crate::daemon::{call, Beside, Daemon, Start};
+use crate::daemon::{call, Daemon, SharedListener, Start};
 use crate::relay::{Link, Relays};
 use crate::site::{Setup, Site};
 use frostturn::fleet::View;
@@ -13,7 +13,7 @@
 use std::time::{Duration, Instant};
 
 /// A test that waits for a state gives up after this: no bound on how fast it is, only on how long the test may hang.
-pub const PATIENCE: Duration = Duration::from_secs(60);
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// One router of the fleet.
 #[derive(Debug)]
@@ -34,7 +34,7 @@
 /// A fleet.
 #[derive(Debug)]
 pub struct Rig {
-    /// Boxes, parent, origin and board.
+    /// Boxes, parent, origin and discovery.
     pub site: Site,
     /// The links.
     pub relays: Relays,
@@ -60,7 +60,7 @@
         // Ports that are free: held until all are known, so that no two are alike, and on an address where nobody else
         // binds, so that they stay free until the routers run, and while one of them doesn't.
         let held: Vec<UdpSocket> = (0..routers)
-            .map(|_| UdpSocket::bind(site.world.own.any()))
+            .map(|_| UdpSocket::bind(site.world.loopback.any_port()))
             .collect::<Result<_, _>>()
             .map_err(io)?;
         let listens: Vec<SocketAddr> =
@@ -71,8 +71,9 @@
         for (at, listen) in listens.into_iter().enumerate() {
             let mut text = format!("(frostturn (fleet (name \"lab\") (listen \"{listen}\") {times}\n");
             for other in 0..routers {
-                if let Some(way) = relays.way(at, other) {
-                    let _ = writeln!(text, "  (peer \"n{other}\" \"{way}\")"); // A String takes all that is written to it.
+                if let Some(address) = relays.address(at, other) {
+                    let _ = writeln!(text, "  (peer \"n{other}\" \"{address}\")");
+                    // A String takes all that is written to it.
                 }
             }
             text.push_str("))\n");
@@ -96,17 +97,17 @@
         let instances = self.slots.len();
         let slot = &mut self.slots[at];
         let number = (at + 1) * 1000 + slot.logs.len();
-        let listen = slot.address.unwrap_or(self.site.world.own.any());
+        let listen = slot.address.unwrap_or(self.site.world.loopback.any_port());
         let start = Start {
             dir: &self.site.dir,
             program: self.program.as_deref(),
             operator: fleet.then_some(&*slot.operator),
-            board: self.site.board.address,
-            known: self.site.board.known(),
+            discovery: self.site.discovery.address,
+            known: self.site.discovery.known(),
             seed: self.seed.wrapping_add(number as u64),
             name: &slot.name,
             instances,
-            beside: Some(Beside { listen, number }),
+            shared_listener: Some(SharedListener { listen, number }),
             deadline_scale: 1.0,
             environment: &self.site.environment,
         };
@@ -127,7 +128,7 @@
         }
         for slot in &mut self.slots {
             if let Some(process) = &mut slot.process {
-                process.until_ready(true)?;
+                process.wait_until_ready(true)?;
                 slot.address = Some(process.address);
             }
         }
@@ -141,7 +142,7 @@
         let text = std::fs::read_to_string(&slot.operator).map_err(io)?;
         let text = text.replace(&format!("(listen \"{}\")", slot.listen), &format!("(listen \"{listen}\")"));
         std::fs::write(&slot.operator, text).map_err(io)?;
-        self.relays.moved(at, listen);
+        self.relays.set_listen_address(at, listen);
         self.slots[at].listen = listen;
         Ok(())
     }
@@ -155,19 +156,19 @@
     pub fn pause(&self, at: usize, stops: bool) {
         let Some(process) = &self.slots[at].process else { return };
         if stops {
-            process.stop();
+            process.suspend();
         } else {
             process.resume();
         }
     }
 
     /// Sets the link of an ordered pair.
-    pub fn link(&self, from: usize, to: usize, link: Link) {
+    pub fn set_link(&self, from: usize, to: usize, link: Link) {
         self.relays.links()[from][to] = link;
     }
 
     /// Sets all links for which `which` says so, from and to.
-    pub fn links(&self, link: Link, which: impl Fn(usize, usize) -> bool) {
+    pub fn set_links(&self, link: Link, which: impl Fn(usize, usize) -> bool) {
         let mut links = self.relays.links();
         for (from, row) in links.iter_mut().enumerate() {
             for (to, one) in row.iter_mut().enumerate().filter(|(to, _)| which(from, *to)) {
@@ -187,8 +188,8 @@
     }
 
     /// Waits until something is so; an error says what was waited for, and how all routers saw the fleet at the end.
-    pub fn until(&self, what: &str, so: impl Fn(&Self) -> bool) -> Result<(), String> {
-        let until = Instant::now() + PATIENCE;
+    pub fn wait_until(&self, what: &str, so: impl Fn(&Self) -> bool) -> Result<(), String> {
+        let until = Instant::now() + WAIT_TIMEOUT;
         while !so(self) {
             if Instant::now() > until {
                 let mut shown = String::new();
@@ -203,7 +204,7 @@
     }
 
     /// Whether one has this standing.
-    pub fn stands(&self, at: usize, standing: &str) -> bool {
+    pub fn has_status(&self, at: usize, standing: &str) -> bool {
         self.view(at).is_some_and(|view| view.me.standing == standing)
     }
 
--- a/crates/frostturn-lab/src/scenarios/addresses.rs
+++ b/crates/frostturn-lab/src/scenarios/addresses.rs
@@ -1,4 +1,4 @@
-//! Machines with three ways each, all of which fail in all ways, two at once as well.
+//! Machines with three endpoints each, all of which fail in all endpoints, two at once as well.
 
 use super::Options;
 use crate::check::{Budget, Millis};
@@ -7,7 +7,7 @@
 use crate::machines::{Failure, CAPACITY, COLD_FROM, COLD_MS};
 use crate::report::{Bound, Report};
 use crate::site::{entry, Site, Status};
-use crate::world::Seen;
+use crate::world::Observations;
 use rand::rngs::StdRng;
 use rand::seq::SliceRandom;
 use rand::{RngExt, SeedableRng};
@@ -23,7 +23,7 @@
 /// No failure begins before then: connections come up and the module learns.
 const QUIET_MS: Millis = 1500.0;
 /// Boxes of which one way or two fail; the others fail as machines.
-const BY_WAY: usize = 5;
+const SINGLE_ENDPOINT_BOXES: usize = 5;
 /// The load takes a little over half of what warm boxes could do. A cold one falls at three times what it can do.
 const COLD_BUDGET: Budget = Budget { first: 3.0 * COLD_FROM * CAPACITY, last: 3.0 * CAPACITY };
 /// The attempt delay that the operator's file sets at most, and what a dial may cost beyond it.
@@ -44,17 +44,17 @@
     Tell(usize, Status, bool),
     /// The last box's address is listed under another name.
     Twin(Status),
-    /// These ways are in the operator's file no more.
+    /// These endpoints are in the operator's file no more.
     Reload(Vec<(usize, usize)>),
     Descriptors(bool),
     Purge(u64),
 }
 
-/// A time in which a way fails.
+/// A time in which a endpoint fails.
 #[derive(Clone, Copy, Debug)]
 struct Spell {
     machine: usize,
-    way: usize,
+    endpoint: usize,
     from: Millis,
     to: Millis,
     failure: Failure,
@@ -67,10 +67,10 @@
 }
 
 impl Plan {
-    fn fail(&mut self, machine: usize, way: usize, failure: Failure, from: Millis, to: Millis) {
-        self.acts.push((from, Act::Fail(machine, way, failure)));
-        self.acts.push((to, Act::Fail(machine, way, Failure::None)));
-        self.spells.push(Spell { machine, way, from, to, failure });
+    fn fail(&mut self, machine: usize, endpoint: usize, failure: Failure, from: Millis, to: Millis) {
+        self.acts.push((from, Act::Fail(machine, endpoint, failure)));
+        self.acts.push((to, Act::Fail(machine, endpoint, Failure::None)));
+        self.spells.push(Spell { machine, endpoint, from, to, failure });
     }
 
     /// Draws all that happens until `end`.
@@ -81,49 +81,49 @@
         };
         let mut rng = StdRng::seed_from_u64(seed ^ 0xadd7_e55e);
         let mut plan = Self::default();
-        // Each failure on each kind of way; a full queue refuses on a Unix socket, where nothing hangs.
+        // Each failure on each kind of endpoint; a full queue refuses on a Unix socket, where nothing hangs.
         let mut kinds: Vec<(usize, Option<Failure>)> = Vec::new();
-        for way in 0..3 {
+        for endpoint in 0..3 {
             let all =
                 [Refused, NeverAnswers, StallsAfterRead, StallsHalfway, ResetUnread, ResetRead, WrongName];
-            kinds.extend(all.into_iter().map(|failure| (way, Some(failure))));
-            kinds.push((way, Some(if way == 0 { Missing } else { BlackHole })));
-            kinds.push((way, None)); // It flaps.
+            kinds.extend(all.into_iter().map(|failure| (endpoint, Some(failure))));
+            kinds.push((endpoint, Some(if endpoint == 0 { Missing } else { BlackHole })));
+            kinds.push((endpoint, None)); // It flaps.
         }
         kinds.push((0, Some(WrongType)));
         kinds.extend([(1, Some(BlackHole)); 8]);
         kinds.push((0, Some(BlackHole)));
         kinds.shuffle(&mut rng);
-        let mut free = [QUIET_MS; BY_WAY];
-        for (turn, (way, failure)) in kinds.into_iter().cycle().enumerate() {
-            let machine = turn % BY_WAY;
+        let mut free = [QUIET_MS; SINGLE_ENDPOINT_BOXES];
+        for (turn, (endpoint, failure)) in kinds.into_iter().cycle().enumerate() {
+            let machine = turn % SINGLE_ENDPOINT_BOXES;
             let from = free[machine] + 750.0 + rng.random_range(0.0..600.0);
             let to = from + rng.random_range(1500.0..4500.0);
             if to > end - 1000.0 {
                 break;
             }
             free[machine] = to;
-            // The better ways are lost before, so that this one is in use when it fails; one may be back early.
-            for better in 0..way {
-                let back = if way == 2 && better == 1 { to - 500.0 } else { to + 300.0 };
+            // The better endpoints are lost before, so that this one is in use when it fails; one may be back early.
+            for better in 0..endpoint {
+                let back = if endpoint == 2 && better == 1 { to - 500.0 } else { to + 300.0 };
                 plan.fail(machine, better, Refused, from - 700.0, back);
                 free[machine] = to + 300.0;
             }
             match failure {
-                Some(failure) => plan.fail(machine, way, failure, from, to),
+                Some(failure) => plan.fail(machine, endpoint, failure, from, to),
                 None => {
                     let mut at = from;
                     while at + 600.0 <= to {
-                        plan.fail(machine, way, Refused, at, at + 300.0);
+                        plan.fail(machine, endpoint, Refused, at, at + 300.0);
                         at += 600.0;
                     }
                 }
             }
-            if way == 0 && rng.random_bool(0.5) {
+            if endpoint == 0 && rng.random_bool(0.5) {
                 plan.acts.push((to + 50.0, Act::Replace(machine, 0)));
             }
-            if way == 0 && rng.random_bool(0.3) {
-                let other = (way + 1 + rng.random_range(0..2)) % 3;
+            if endpoint == 0 && rng.random_bool(0.3) {
+                let other = (endpoint + 1 + rng.random_range(0..2)) % 3;
                 let second = [Refused, StallsAfterRead, ResetRead][rng.random_range(0..3)];
                 let from = rng.random_range(from..(from + to) / 2.0);
                 plan.fail(machine, other, second, from, to);
@@ -133,11 +133,11 @@
         let mut at = QUIET_MS + rng.random_range(500.0..2500.0);
         while at + 9000.0 < end {
             let (back, first) = (at + rng.random_range(800.0..1600.0), rng.random_range(0..3));
-            for way in 0..3 {
-                let late = if way == first { 0.0 } else { 1200.0 };
-                plan.fail(BY_WAY, way, Refused, at, back + late);
+            for endpoint in 0..3 {
+                let late = if endpoint == first { 0.0 } else { 1200.0 };
+                plan.fail(SINGLE_ENDPOINT_BOXES, endpoint, Refused, at, back + late);
             }
-            plan.acts.push((back, Act::Tell(BY_WAY, Status::Active, true)));
+            plan.acts.push((back, Act::Tell(SINGLE_ENDPOINT_BOXES, Status::Active, true)));
             at = back + rng.random_range(5000.0..8000.0);
         }
         // A box that drains, while its address is listed under a second name as well.
@@ -151,10 +151,10 @@
             plan.acts.push((at + 4300.0, Act::Tell(last, Status::Active, true)));
             at += rng.random_range(9000.0..12_000.0);
         }
-        // A reload that takes the first way of a box away, and one that gives it back.
+        // A reload that takes the first endpoint of a box away, and one that gives it back.
         let mut at = QUIET_MS + rng.random_range(2000.0..5000.0);
         while at + 6000.0 < end {
-            plan.acts.push((at, Act::Reload(vec![(BY_WAY + 1, 0)])));
+            plan.acts.push((at, Act::Reload(vec![(SINGLE_ENDPOINT_BOXES + 1, 0)])));
             plan.acts.push((at + 3500.0, Act::Reload(vec![])));
             at += rng.random_range(8000.0..11_000.0);
         }
@@ -169,7 +169,7 @@
         plan
     }
 
-    /// Has it all happen; what each failure met: its time and the connections that were open on its way.
+    /// Has it all happen; what each failure met: its time and the connections that were open on its endpoint.
     fn play(&self, site: &Site, daemon: &Daemon, start: Millis) -> Vec<(usize, Millis, i64)> {
         let mut met = Vec::new();
         for (at, act) in &self.acts {
@@ -178,38 +178,45 @@
                 thread::sleep(Duration::from_secs_f64(wait / 1e3));
             }
             match act {
-                Act::Fail(machine, way, failure) => {
+                Act::Fail(machine, endpoint, failure) => {
                     if *failure != Failure::None {
                         let now = site.world.now();
-                        let open = site.world.seen().open.get(&(*machine, *way)).copied().unwrap_or(0);
+                        let open = site
+                            .world
+                            .observations()
+                            .open_connections
+                            .get(&(*machine, *endpoint))
+                            .copied()
+                            .unwrap_or(0);
                         met.push((*machine, now, open));
-                        if *machine == BY_WAY {
-                            site.boxes[*machine].forget();
+                        if *machine == SINGLE_ENDPOINT_BOXES {
+                            site.boxes[*machine].restart_cold();
                         }
                     }
-                    site.boxes[*machine].ways[*way].fail(*failure);
+                    site.boxes[*machine].endpoints[*endpoint].fail(*failure);
                 }
-                Act::Replace(machine, way) => site.boxes[*machine].ways[*way].replace(),
+                Act::Replace(machine, endpoint) => site.boxes[*machine].endpoints[*endpoint].replace(),
                 Act::Tell(machine, status, cold) => {
                     if *cold {
-                        site.boxes[*machine].forget();
+                        site.boxes[*machine].restart_cold();
                     }
-                    site.tell(*machine, *status, cold.then_some((COLD_MS, COLD_BUDGET)));
+                    site.announce_status(*machine, *status, cold.then_some((COLD_MS, COLD_BUDGET)));
                 }
                 Act::Twin(status) => {
                     let address = site.boxes[BOXES - 1].address();
-                    site.tell_entry(entry("s-twin", address, "std", *status, 0.0), None);
+                    site.announce_entry(entry("s-twin", address, "std", *status, 0.0), None);
                 }
                 Act::Reload(without) => {
                     let without: BTreeSet<(usize, usize)> = without.iter().copied().collect();
                     if site.write_operator(&without).is_ok() {
                         let now = site.world.now();
                         daemon.reload();
-                        site.world.seen().taken_away = without.into_iter().map(|way| (way, now)).collect();
+                        site.world.observations().removed_endpoints =
+                            without.into_iter().map(|endpoint| (endpoint, now)).collect();
                     }
                 }
                 Act::Descriptors(short) => {
-                    daemon.bound_descriptors(if *short { daemon.descriptors() } else { 1024 });
+                    daemon.limit_descriptors(if *short { daemon.open_descriptors() } else { 1024 });
                 }
                 Act::Purge(object) => site.purge(*object),
             }
@@ -240,19 +247,19 @@
 }
 
 /// What failed when, and what first requests on connections paid, as CSV.
-fn write(out: &Path, plan: &Plan, start: Millis, seen: &Seen) -> std::io::Result<()> {
+fn write(out: &Path, plan: &Plan, start: Millis, seen: &Observations) -> std::io::Result<()> {
     std::fs::create_dir_all(out)?;
     let mut file = std::fs::File::create(out.join("firsts.csv"))?;
     writeln!(file, "machine,way,at_ms,after_ms")?;
-    for first in &seen.firsts {
+    for first in &seen.first_requests {
         let at = first.at - start;
-        writeln!(file, "{},{},{at:.2},{:.3}", first.machine, first.way, first.after_ms)?;
+        writeln!(file, "{},{},{at:.2},{:.3}", first.machine, first.endpoint, first.after_ms)?;
     }
     let mut file = std::fs::File::create(out.join("failures.csv"))?;
     writeln!(file, "machine,way,from_ms,to_ms,failure")?;
-    plan.spells
-        .iter()
-        .try_for_each(|s| writeln!(file, "{},{},{:.0},{:.0},{:?}", s.machine, s.way, s.from, s.to, s.failure))
+    plan.spells.iter().try_for_each(|s| {
+        writeln!(file, "{},{},{:.0},{:.0},{:?}", s.machine, s.endpoint, s.from, s.to, s.failure)
+    })
 }
 
 fn quantile(mut values: Vec<f64>, q: f64) -> f64 {
@@ -261,23 +268,30 @@
     values.get(at).copied().unwrap_or(0.0)
 }
 
-fn bounds(report: &mut Report, plan: &Plan, start: Millis, seen: &Seen, hit: &[(usize, Millis, i64)]) {
+fn bounds(
+    report: &mut Report,
+    plan: &Plan,
+    start: Millis,
+    seen: &Observations,
+    hit: &[(usize, Millis, i64)],
+) {
     use Failure::{BlackHole, Missing, Refused, WrongType};
     let refused = |failure| matches!(failure, Refused | Missing | WrongType);
-    let usual = quantile(seen.usual.clone(), 0.5);
-    // What firsts paid on a way while a better one of their machine failed so, from and until so long after.
+    let usual = quantile(seen.usual_delays_ms.clone(), 0.5);
+    // What firsts paid on a endpoint while a better one of their machine failed so, from and until so long after.
     let paid = |fails: &dyn Fn(Failure) -> bool, after: Millis, before: Millis| {
-        let during = |machine: usize, way: usize, at: Millis| {
-            let better = plan.spells.iter().filter(|s| s.machine == machine && s.way < way);
+        let during = |machine: usize, endpoint: usize, at: Millis| {
+            let better = plan.spells.iter().filter(|s| s.machine == machine && s.endpoint < endpoint);
             let now: Vec<&Spell> = better.filter(|s| at >= start + s.from && at <= start + s.to).collect();
-            // Where a better way fails in another manner, the figure is not of the one that is asked for.
+            // Where a better endpoint fails in another manner, the figure is not of the one that is asked for.
             now.iter().all(|s| fails(s.failure) || refused(s.failure))
                 && now.iter().any(|s| {
                     let since = at - start - s.from;
                     fails(s.failure) && since >= after && since <= before
                 })
         };
-        let firsts = seen.firsts.iter().filter(|first| during(first.machine, first.way, first.at));
+        let firsts =
+            seen.first_requests.iter().filter(|first| during(first.machine, first.endpoint, first.at));
         firsts.map(|first| (first.after_ms - usual).max(0.0)).collect::<Vec<f64>>()
     };
     let hole = |failure| failure == BlackHole;
@@ -295,12 +309,18 @@
     let met = [paid(&refused, 0.0, FRESH_MS).len(), paid(&hole, 0.0, FRESH_MS).len()];
     report.bounds.push(Bound::least("failover_refused_met", met[0] as f64, LEAST_MET));
     report.bounds.push(Bound::least("failover_blackhole_met", met[1] as f64, LEAST_MET));
-    // Later than 2 s after a way died: requests that came on it and were lost, and those that paid for a dial.
+    // Later than 2 s after a endpoint died: requests that came on it and were lost, and those that paid for a dial.
     let dead = |machine: usize, at: Millis| {
         let of = plan.spells.iter().filter(|s| s.machine == machine);
-        of.filter(|s| at >= start + s.from + 2000.0 && at <= start + s.to).map(|s| s.way).collect::<Vec<_>>()
+        of.filter(|s| at >= start + s.from + 2000.0 && at <= start + s.to)
+            .map(|s| s.endpoint)
+            .collect::<Vec<_>>()
     };
-    let lost = seen.paid.iter().filter(|(machine, way, at)| dead(*machine, *at).contains(way)).count();
+    let lost = seen
+        .failed_endpoint_requests
+        .iter()
+        .filter(|(machine, endpoint, at)| dead(*machine, *at).contains(endpoint))
+        .count();
     let dialled = paid(&|_| true, 2000.0, f64::INFINITY).into_iter().filter(|paid| *paid > PAID_MS).count();
     let all = seen.arrivals.iter().filter(|(machine, at)| !dead(*machine, *at).is_empty()).count();
     let share = (lost + dialled) as f64 / all.max(1) as f64;
@@ -313,7 +333,7 @@
     let within = |(machine, at, _): &&(usize, Millis, i64)| {
         seen.accepts.iter().filter(|(m, _, when)| m == machine && *when > *at && *when < at + 2000.0).count()
     };
-    let single = hit.iter().filter(|(machine, ..)| *machine < BY_WAY);
+    let single = hit.iter().filter(|(machine, ..)| *machine < SINGLE_ENDPOINT_BOXES);
     let (dials, cost) = single
         .fold((0.0, 0.0), |(dials, cost), one| (dials + within(&one) as f64, cost + one.2.max(1) as f64));
     report.bounds.push(Bound::most("dials_per_failure", dials / f64::max(cost, 1.0), 3.0));
--- a/crates/frostturn-lab/src/scenarios/fleet.rs
+++ b/crates/frostturn-lab/src/scenarios/fleet.rs
@@ -6,8 +6,8 @@
 use crate::clients::{self, Load};
 use crate::daemon::Daemon;
 use crate::fleet::audit::{self, boot_ms};
-use crate::fleet::check::{judge, Figures, Said, Truth};
-use crate::fleet::schedule::{Millis, Schedule, What};
+use crate::fleet::check::{evaluate, Figures, GroundTruth, LoggedEvent};
+use crate::fleet::schedule::{FaultAction, Millis, Schedule};
 use crate::relay::Link;
 use crate::report::{Bound, Report};
 use crate::rig::Rig;
@@ -29,7 +29,7 @@
 /// One that runs late stands still for as long as the schedule says, and runs for this long in between.
 const RUNS_MS: Millis = 100.0;
 /// What was at a router that was killed or stopped is excused from so long before.
-const LOOK: Duration = Duration::from_millis(2);
+const POLL_INTERVAL: Duration = Duration::from_millis(2);
 
 /// Routers and their load.
 struct Side {
@@ -88,11 +88,16 @@
     let (figures, notes) = judged(&sides[0].rig, begin, &done, end);
     let [with, without] = sides;
     let used: Vec<(f64, u64)> =
-        with.rig.slots.iter().filter_map(|slot| slot.process.as_ref()).map(Daemon::used).collect();
+        with.rig.slots.iter().filter_map(|slot| slot.process.as_ref()).map(Daemon::resource_usage).collect();
     let cpu: f64 = used.iter().map(|(ms, _)| ms).sum();
-    let cpu_without: f64 =
-        without.rig.slots.iter().filter_map(|slot| slot.process.as_ref()).map(|one| one.used().0).sum();
-    let passed = with.rig.relays.passed.load(Ordering::Relaxed);
+    let cpu_without: f64 = without
+        .rig
+        .slots
+        .iter()
+        .filter_map(|slot| slot.process.as_ref())
+        .map(|one| one.resource_usage().0)
+        .sum();
+    let passed = with.rig.relays.forwarded.load(Ordering::Relaxed);
     let mut examples = notes;
     let (verdict, worth, latency) = finish(with, &loads[0], &excused, &mut examples);
     let (plain, worth_plain, _) = finish(without, &loads[1], &excused, &mut Vec::new());
@@ -134,7 +139,7 @@
     begin: Millis,
     for_ms: Millis,
     options: &Options,
-) -> Result<Vec<(Millis, What)>, String> {
+) -> Result<Vec<(Millis, FaultAction)>, String> {
     let mut done = Vec::new();
     let mut late: BTreeMap<usize, (Millis, Millis, bool)> = BTreeMap::new();
     let junk: Vec<Arc<AtomicU32>> = (0..ROUTERS).map(|_| Arc::new(AtomicU32::new(0))).collect();
@@ -146,32 +151,32 @@
         let now = boot_ms() - begin;
         while let Some(step) = steps.next_if(|step| step.at_ms <= now) {
             match &step.what {
-                What::Kill(these) => {
+                FaultAction::Kill(these) => {
                     these.iter().for_each(|one| sides.iter_mut().for_each(|side| side.rig.kill(*one)));
                 }
-                What::Start(these) => {
+                FaultAction::Start(these) => {
                     for one in these {
                         sides[0].rig.spawn(*one, true, false)?;
                         sides[1].rig.spawn(*one, false, false)?;
                     }
                 }
-                What::Stop(these) => {
+                FaultAction::Stop(these) => {
                     these.iter().for_each(|one| sides.iter().for_each(|side| side.rig.pause(*one, true)));
                 }
-                What::Resume(these) => {
+                FaultAction::Resume(these) => {
                     these.iter().for_each(|one| sides.iter().for_each(|side| side.rig.pause(*one, false)));
                 }
-                What::Links(cuts, weather) => {
-                    sides[0].rig.links(*weather, |_, _| true);
+                FaultAction::Links(cuts, link_behaviour) => {
+                    sides[0].rig.set_links(*link_behaviour, |_, _| true);
                     let cut = Link { cut: true, ..Link::default() };
-                    sides[0].rig.links(cut, |from, to| cuts.iter().any(|one| one.cuts(from, to)));
+                    sides[0].rig.set_links(cut, |from, to| cuts.iter().any(|one| one.cuts(from, to)));
                 }
-                What::Late(one, 0.0) => {
+                FaultAction::Late(one, 0.0) => {
                     late.remove(one);
                     sides.iter().for_each(|side| side.rig.pause(*one, false));
                 }
-                What::Late(one, ms) => drop(late.insert(*one, (*ms, now, false))),
-                What::Junk(one, rate) => junk[*one].store(*rate, Ordering::Relaxed),
+                FaultAction::Late(one, ms) => drop(late.insert(*one, (*ms, now, false))),
+                FaultAction::Junk(one, rate) => junk[*one].store(*rate, Ordering::Relaxed),
             }
             done.push((boot_ms(), step.what.clone()));
         }
@@ -185,17 +190,17 @@
         if now >= for_ms {
             return Ok(done);
         }
-        thread::sleep(LOOK);
+        thread::sleep(POLL_INTERVAL);
     }
 }
 
 /// Junk for one router, at a rate that can be changed; it ends with the world.
 fn spread_junk(rig: &Rig, at: usize, rate: Arc<AtomicU32>, seed: u64) {
-    let (listen, latest, world) = (rig.slots[at].listen, rig.relays.latest.clone(), rig.site.world.clone());
+    let (listen, latest, world) = (rig.slots[at].listen, rig.relays.recent.clone(), rig.site.world.clone());
     thread::spawn(move || {
         let Ok(socket) = UdpSocket::bind("127.0.0.1:0") else { return };
         let mut rng = StdRng::seed_from_u64(seed ^ at as u64);
-        while !world.over() {
+        while !world.ended() {
             let some = rate.load(Ordering::Relaxed) / 500;
             for _ in 0..some {
                 let heard = {
@@ -228,7 +233,7 @@
 }
 
 /// For each router the times at which what it had taken can't be answered for.
-fn excused(done: &[(Millis, What)], end: Millis) -> Vec<Vec<(Millis, Millis)>> {
+fn excused(done: &[(Millis, FaultAction)], end: Millis) -> Vec<Vec<(Millis, Millis)>> {
     let mut spans: Vec<Vec<(Millis, Millis)>> = vec![Vec::new(); ROUTERS];
     let begins = |spans: &mut Vec<(Millis, Millis)>, at| spans.push((at, end));
     let ends = |spans: &mut Vec<(Millis, Millis)>, at: Millis| {
@@ -238,35 +243,35 @@
     };
     for (at, what) in done {
         match what {
-            What::Kill(these) | What::Stop(these) => {
+            FaultAction::Kill(these) | FaultAction::Stop(these) => {
                 these.iter().for_each(|one| begins(&mut spans[*one], *at))
             }
-            What::Start(these) | What::Resume(these) => {
+            FaultAction::Start(these) | FaultAction::Resume(these) => {
                 these.iter().for_each(|one| ends(&mut spans[*one], *at))
             }
-            What::Late(one, 0.0) => ends(&mut spans[*one], *at),
-            What::Late(one, _) => begins(&mut spans[*one], *at),
-            What::Links(..) | What::Junk(..) => {}
+            FaultAction::Late(one, 0.0) => ends(&mut spans[*one], *at),
+            FaultAction::Late(one, _) => begins(&mut spans[*one], *at),
+            FaultAction::Links(..) | FaultAction::Junk(..) => {}
         }
     }
     spans
 }
 
 /// What the routers said, held against what was done.
-fn judged(rig: &Rig, begin: Millis, done: &[(Millis, What)], end: Millis) -> (Figures, Vec<String>) {
-    let (mut said, mut starts): (Vec<Said>, Vec<Vec<u64>>) = Default::default();
+fn judged(rig: &Rig, begin: Millis, done: &[(Millis, FaultAction)], end: Millis) -> (Figures, Vec<String>) {
+    let (mut said, mut starts): (Vec<LoggedEvent>, Vec<Vec<u64>>) = Default::default();
     for (at, slot) in rig.slots.iter().enumerate() {
         let mut numbers = Vec::new();
         for (start, log) in slot.logs.iter().enumerate() {
             let text = std::fs::read_to_string(log).unwrap_or_default();
-            let (words, number) = audit::read(&text, at, start);
+            let (words, number) = audit::parse_log(&text, at, start);
             said.extend(words);
             numbers.push(number);
         }
         starts.push(numbers);
     }
     said.sort_by(|a, b| a.at.total_cmp(&b.at));
-    let figures = judge(&Truth::new(begin, done, starts, end), &said);
+    let figures = evaluate(&GroundTruth::new(begin, done, starts, end), &said);
     let notes = figures.examples.clone();
     (figures, notes)
 }
@@ -286,8 +291,8 @@
     for (load, spans) in loads.iter().zip(excused) {
         (worth, earned) = (worth + load.worth, earned + load.worth_served);
         let _ = latency.add(&load.latency); // Both have the same bounds.
-        let mut seen = rig.site.world.seen();
-        for (id, from, until) in &load.asked {
+        let mut seen = rig.site.world.observations();
+        for (id, from, until) in &load.requests {
             let hit = |(a, b): &(Millis, Millis)| from + shift <= b + 200.0 && until + shift + 100.0 >= *a;
             if spans.iter().any(hit) {
                 seen.checker.excuse(*id);
@@ -298,13 +303,13 @@
     processes.iter().for_each(Daemon::terminate);
     for process in processes {
         let log = std::fs::read_to_string(&process.log).unwrap_or_default();
-        if !process.ended() || log.contains("panicked") || log.contains("a panic ends") {
+        if !process.wait_for_exit() || log.contains("panicked") || log.contains("a panic ends") {
             let last: Vec<&str> = log.lines().rev().take(3).collect();
             examples.push(format!("a router did not end well: {}", last.join(" | ")));
         }
     }
     rig.site.world.end();
-    let verdict = std::mem::take(&mut rig.site.world.seen().checker).finish();
+    let verdict = std::mem::take(&mut rig.site.world.observations().checker).finish();
     examples.extend(verdict.examples.iter().cloned());
     (verdict, earned / f64::max(worth, 1.0), latency)
 }
--- a/crates/frostturn-lab/src/scenarios/fleet_cost.rs
+++ b/crates/frostturn-lab/src/scenarios/fleet_cost.rs
@@ -69,7 +69,8 @@
 pub fn run(options: &Options) -> Result<Report, String> {
     let io = |e: std::io::Error| format!("the operator's file: {e}");
     let site = Site::start(2, &options.setup())?;
-    let listen = UdpSocket::bind(site.world.own.any()).and_then(|held| held.local_addr()).map_err(io)?;
+    let listen =
+        UdpSocket::bind(site.world.loopback.any_port()).and_then(|held| held.local_addr()).map_err(io)?;
     let (mut peers, text) = others(listen, options.seed)?;
     let operator = site.dir.join("fleet.scm");
     std::fs::write(&operator, text).map_err(io)?;
@@ -78,12 +79,12 @@
             dir: &site.dir,
             program: options.daemon.as_deref(),
             operator,
-            board: site.board.address,
-            known: site.board.known(),
+            discovery: site.discovery.address,
+            known: site.discovery.known(),
             seed: options.seed,
             name: "n0",
             instances: ROUTERS,
-            beside: None,
+            shared_listener: None,
             deadline_scale: 1.0,
             environment: &site.environment,
         })
@@ -98,9 +99,9 @@
     };
     let began = boot_ms();
     play(began + FORMS_MS);
-    let before = [with.used().0, without.used().0];
+    let before = [with.resource_usage().0, without.resource_usage().0];
     play(began + FORMS_MS + MEASURED_MS);
-    let after = [with.used(), without.used()];
+    let after = [with.resource_usage(), without.resource_usage()];
     let cpu = [0, 1].map(|at| (after[at].0 - before[at]) / (MEASURED_MS / 1e3));
     let alive = peers[0].fleet.count_by_state()[1].1;
     let mb = after.map(|(_, kb)| kb as f64 / 1e3);
--- a/crates/frostturn-lab/src/scenarios/fleet_sim.rs
+++ b/crates/frostturn-lab/src/scenarios/fleet_sim.rs
@@ -1,9 +1,9 @@
 //! The same faults in simulated time, at several sizes: what holds at each, and what it costs, as a table, CSV and a plot.
 
 use super::Options;
-use crate::fleet::check::{judge, p99, Figures, Truth};
-use crate::fleet::schedule::{Millis, Schedule, What};
-use crate::fleet::sim::{play, Cost, Played};
+use crate::fleet::check::{evaluate, p99, Figures, GroundTruth};
+use crate::fleet::schedule::{FaultAction, Millis, Schedule};
+use crate::fleet::sim::{simulate, Cost, SimulationResult};
 use crate::report::{Bound, Report};
 use plotters::prelude::*;
 use std::fmt::Write;
@@ -25,9 +25,10 @@
 
 fn played(routers: usize, seed: u64) -> Row {
     let schedule = Schedule::draw(seed, routers, SPAN_MS);
-    let Played { said, starts, cost } = play(&schedule, routers, seed, SPAN_MS);
-    let done: Vec<(Millis, What)> = schedule.0.into_iter().map(|step| (step.at_ms, step.what)).collect();
-    Row { routers, seed, figures: judge(&Truth::new(0.0, &done, starts, SPAN_MS), &said), cost }
+    let SimulationResult { said, starts, cost } = simulate(&schedule, routers, seed, SPAN_MS);
+    let done: Vec<(Millis, FaultAction)> =
+        schedule.0.into_iter().map(|step| (step.at_ms, step.what)).collect();
+    Row { routers, seed, figures: evaluate(&GroundTruth::new(0.0, &done, starts, SPAN_MS), &said), cost }
 }
 
 /// Plays all sizes.
--- a/crates/frostturn-lab/src/scenarios/photos.rs
+++ b/crates/frostturn-lab/src/scenarios/photos.rs
@@ -66,15 +66,15 @@
     while leaves.0 + AWAY_MS < seconds * 1e3 {
         let (at, one) = leaves;
         sleep_until(at);
-        // Told before it goes: what is out there is finished, and nothing new comes.
-        site.tell(one, Status::Left, None);
+        // Announcement before it goes: what is out there is finished, and nothing new comes.
+        site.announce_status(one, Status::Left, None);
         sleep_until(at + AWAY_MS);
-        site.boxes[one].ways.iter().for_each(|way| way.fail(Failure::None));
-        site.boxes[one].forget();
-        site.tell(one, Status::Active, Some((COLD_MS, budget)));
+        site.boxes[one].endpoints.iter().for_each(|endpoint| endpoint.fail(Failure::None));
+        site.boxes[one].restart_cold();
+        site.announce_status(one, Status::Active, Some((COLD_MS, budget)));
         leaves = (at + EVERY_MS, (one + 3) % BOXES);
     }
     let load = load.join().map_err(|_| "the clients panicked".to_owned())?;
     let (report, seen, ended) = site.finish("photos", seed, daemon, &load);
-    ended.map(|()| (report, seen.held))
+    ended.map(|()| (report, seen.cache_answers))
 }
--- a/crates/frostturn-lab/src/scenarios/plugins.rs
+++ b/crates/frostturn-lab/src/scenarios/plugins.rs
@@ -62,21 +62,22 @@
     let (mut died, mut back) = (false, false);
     while site.world.now() < start + seconds * 1e3 {
         let at = site.world.now() - start;
-        let ways = |failure: Failure| site.boxes[0].ways.iter().for_each(|way| way.fail(failure));
+        let endpoints =
+            |failure: Failure| site.boxes[0].endpoints.iter().for_each(|endpoint| endpoint.fail(failure));
         if !died && at >= DIES_MS {
             died = true;
-            ways(Failure::Refused);
+            endpoints(Failure::Refused);
         }
         if !back && at >= BACK_MS {
             back = true;
-            ways(Failure::None);
-            site.boxes[0].forget();
+            endpoints(Failure::None);
+            site.boxes[0].restart_cold();
             let budget = crate::check::Budget { first: 3.0 * COLD_FROM * CAPACITY, last: 3.0 * CAPACITY };
-            site.tell(0, Status::Active, Some((COLD_MS, budget)));
+            site.announce_status(0, Status::Active, Some((COLD_MS, budget)));
         }
         if hostile && site.world.now() >= next {
             next += SWAP_MS as f64;
-            // One of them gives way to another: all files are read anew.
+            // One of them gives endpoint to another: all files are read anew.
             let place = rng.random_range(0..drawn.len());
             let fresh = (0..all.len()).filter(|one| !drawn.contains(one)).collect::<Vec<usize>>();
             drawn[place] = fresh[rng.random_range(0..fresh.len())];
--- a/crates/frostturn-lab/src/scenarios/service.rs
+++ b/crates/frostturn-lab/src/scenarios/service.rs
@@ -4,7 +4,7 @@
 use super::Options;
 use crate::check::{Budget, Millis};
 use crate::clients;
-use crate::daemon::{call, Beside, Daemon, Start};
+use crate::daemon::{call, Daemon, SharedListener, Start};
 use crate::machines::{CAPACITY, COLD_FROM, COLD_MS};
 use crate::report::{Bound, Report};
 use crate::site::{entry, Site, Status};
@@ -82,20 +82,20 @@
     let mut number = 0;
     let mut how = |site: &Site, listen: SocketAddr, spawn: bool| {
         number += 1;
-        let (known, seed) = (site.board.known(), options.seed + number as u64);
-        let beside = Some(Beside { listen, number });
-        let (dir, board) = (&*site.dir, site.board.address);
+        let (known, seed) = (site.discovery.known(), options.seed + number as u64);
+        let shared_listener = Some(SharedListener { listen, number });
+        let (dir, discovery) = (&*site.dir, site.discovery.address);
         let (name, environment) = ("lab", &*site.environment);
         let start = Start {
             dir,
             program,
             operator: None,
-            board,
+            discovery,
             known,
             seed,
             name,
             instances: 1,
-            beside,
+            shared_listener,
             deadline_scale: 1.0,
             environment,
         };
@@ -105,7 +105,7 @@
             Daemon::start(&start)
         }
     };
-    let mut current = how(&site, site.world.own.any(), false)?;
+    let mut current = how(&site, site.world.loopback.any_port(), false)?;
     let (world, address, rate) = (site.world.clone(), current.address, options.rate.unwrap_or(RATE));
     let (start, seed) = (world.now(), options.seed);
     let load = thread::spawn(move || clients::run(&world, address, rate, seconds * 1e3, seed));
@@ -118,12 +118,12 @@
         for (_, told, retired) in &mut ending {
             if !*retired && now >= *told + LEFT_MS {
                 *retired = true;
-                site.world.seen().retired = now;
+                site.world.observations().retired_before = now;
             }
         }
         while ending.first().is_some_and(|(_, told, _)| now >= *told + 4000.0) {
             let (old, ..) = ending.remove(0);
-            figures.bad_ends += u32::from(!old.ended());
+            figures.bad_ends += u32::from(!old.wait_for_exit());
         }
         if now >= call_at {
             call_at = now + CALL_MS;
@@ -158,7 +158,7 @@
         thread::sleep(Duration::from_millis(5));
     }
     for (old, ..) in ending {
-        figures.bad_ends += u32::from(!old.ended());
+        figures.bad_ends += u32::from(!old.wait_for_exit());
     }
     let end = site.world.now();
     figures.out.extend(out.into_iter().map(|(at, since)| (at, since, end)));
@@ -195,7 +195,7 @@
     Ok(report)
 }
 
-/// One call: a box is taken out, or one that is out comes back cold; and the board says that all is well with it.
+/// One call: a box is taken out, or one that is out comes back cold; and the discovery says that all is well with it.
 fn operate(
     site: &Site,
     figures: &mut Figures,
@@ -210,23 +210,23 @@
             return;
         }
         let now = site.world.now();
-        site.world.seen().checker.told(at, Some(now));
+        site.world.observations().checker.set_drained(at, Some(now));
         out.push((at, now));
-        site.tell_entry(entry(&one.name, one.address(), one.kind, Status::Active, 0.0), None);
+        site.announce_entry(entry(&one.name, one.address(), one.kind, Status::Active, 0.0), None);
     } else if out.first().is_some_and(|(_, since)| site.world.now() > since + 3000.0) {
         let (at, since) = out[0];
-        site.boxes[at].forget(); // It was restarted while it was out.
+        site.boxes[at].restart_cold(); // It was restarted while it was out.
         let now = site.world.now();
         {
-            let mut seen = site.world.seen();
-            seen.checker.told(at, None);
+            let mut seen = site.world.observations();
+            seen.checker.set_drained(at, None);
             seen.checker.started_cold(at, now, now + COLD_MS, COLD_BUDGET);
         }
         if figures.call(ops, &Call::Include(site.boxes[at].name.clone())) {
             out.remove(0);
             figures.out.push((at, since, now));
         } else {
-            site.world.seen().checker.told(at, Some(now));
+            site.world.observations().checker.set_drained(at, Some(now));
         }
     }
 }
--- a/crates/frostturn-lab/src/scenarios/soak/clients.rs
+++ b/crates/frostturn-lab/src/scenarios/soak/clients.rs
@@ -16,12 +16,12 @@
 /// Requests open on one connection.
 const MAX_OPEN: usize = 24;
 /// What crosses a close within this time is sent again by the platform's clients.
-const CROSSED_MS: Millis = 50.0;
+const RESEND_WINDOW_MS: Millis = 50.0;
 /// Mean time between two requests on a connection.
 const GAP_MS: f64 = 30.0;
 /// Time between the end of a connection and the next one of the same client.
 const PAUSE: Duration = Duration::from_millis(100);
-const CONNECT_PATIENCE: Duration = Duration::from_millis(500);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// How a client uses its connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -51,10 +51,10 @@
 
 /// What clients know of a router's process.
 #[derive(Debug, Default)]
-pub struct Reach {
+pub struct RouterState {
     pub address: Option<SocketAddr>,
     /// The front makes new connections to it.
-    pub welcomes: bool,
+    pub accepts_connections: bool,
     /// It was killed then, running.
     pub killed_at: Option<Millis>,
 }
@@ -94,7 +94,7 @@
 #[derive(Debug)]
 pub struct Clients {
     pub world: Arc<World>,
-    pub routers: Vec<Mutex<Reach>>,
+    pub routers: Vec<Mutex<RouterState>>,
     pub sessions: Mutex<Vec<Open>>,
     pub deadline_scale: f64,
     pub until: Millis,
@@ -110,9 +110,9 @@
         let mut rng = StdRng::seed_from_u64(seed);
         while self.world.now() < self.until {
             let reach = lock(&self.routers[router]);
-            let address = reach.address.filter(|_| reach.welcomes);
+            let address = reach.address.filter(|_| reach.accepts_connections);
             drop(reach);
-            let stream = address.and_then(|at| TcpStream::connect_timeout(&at, CONNECT_PATIENCE).ok());
+            let stream = address.and_then(|at| TcpStream::connect_timeout(&at, CONNECT_TIMEOUT).ok());
             match stream.filter(|stream| stream.set_nodelay(true).is_ok()) {
                 Some(stream) => {
                     self.use_connection(router, habit, &stream, &mut rng);
@@ -136,7 +136,7 @@
             thread::sleep(Duration::from_millis(5));
         }
         // At the end of the run its last answers come by then, or never.
-        let until = self.world.now() + CLASSES[0].patience_ms * self.deadline_scale + 1000.0;
+        let until = self.world.now() + CLASSES[0].client_timeout_ms * self.deadline_scale + 1000.0;
         while lock(&session).ended.is_none() && !lock(&session).open.is_empty() && self.world.now() < until {
             thread::sleep(Duration::from_millis(5));
         }
@@ -151,7 +151,8 @@
         for number in (1..=u16::MAX).cycle() {
             let class = &CLASSES[draw_class(rng.random())];
             let (id, object) = (rng.next_u64(), 0x1000 + rng.random_range(0..200u64));
-            let bytes = request_within(class.patience_ms * self.deadline_scale, number, class, id, object);
+            let bytes =
+                request_within(class.client_timeout_ms * self.deadline_scale, number, class, id, object);
             let cut = match habit {
                 Habit::InPieces => rng.random_range(1..bytes.len()),
                 Habit::Half => bytes.len() / 2,
@@ -172,9 +173,15 @@
                 if let Some((number, id, class, object)) = whole {
                     let now = self.world.now();
                     session.open.insert(number, (id, now));
-                    let patience = class.patience_ms * self.deadline_scale;
+                    let client_timeout_ms = class.client_timeout_ms * self.deadline_scale;
                     self.world.event(|| format!("sent id={id:016x} number={number}"));
-                    self.world.seen().checker.asked(id, class.most, object, now, patience);
+                    self.world.observations().checker.request_sent(
+                        id,
+                        class.max_attempts,
+                        object,
+                        now,
+                        client_timeout_ms,
+                    );
                 }
             }
             if stream.write_all(&rest).is_err() {
@@ -212,7 +219,7 @@
                         // One that was turned away half written is none of those that are owed an answer.
                         let Some((id, _)) = session.open.remove(&record.request) else { continue };
                         let answer = read_answer(&head, &record.content);
-                        self.world.seen().checker.answered(id, self.world.now(), answer);
+                        self.world.observations().checker.answered(id, self.world.now(), answer);
                     }
                     _ => {}
                 }
@@ -227,9 +234,9 @@
         self.world.event(|| format!("connection_ended port={port} how={how} open={}", left.len()));
         let killed = lock(&self.routers[router]).killed_at.is_some_and(|at| now >= at);
         for (id, at) in left.into_values() {
-            if now - at <= CROSSED_MS && !killed {
+            if now - at <= RESEND_WINDOW_MS && !killed {
                 self.world.event(|| format!("crossed id={id:016x} port={port}"));
-                self.world.seen().checker.crossed(id);
+                self.world.observations().checker.crossed(id);
             }
         }
     }
--- a/crates/frostturn-lab/src/scenarios/soak/mod.rs
+++ b/crates/frostturn-lab/src/scenarios/soak/mod.rs
@@ -10,10 +10,10 @@
 use super::Options;
 use crate::check::{Millis, Verdict};
 use crate::clients::CLASSES;
-use crate::daemon::{call, Beside, Daemon, Start};
+use crate::daemon::{call, Daemon, SharedListener, Start};
 use crate::report::{Bound, Report};
 use crate::site::{Site, Status};
-use clients::{lock, Clients, Reach, HABITS};
+use clients::{lock, Clients, RouterState, HABITS};
 use frostturn::ops::control::Answer;
 use frostturn::ops::Call;
 use rand::rngs::StdRng;
@@ -51,7 +51,7 @@
 /// One router's processes.
 struct Slot {
     current: Option<Daemon>,
-    /// Told to end, and not the current one any more.
+    /// Announcement to end, and not the current one any more.
     ending: Option<Daemon>,
     /// It is told to end already, so that a second signal moves no kill.
     told: bool,
@@ -86,13 +86,13 @@
 pub fn run(options: &Options) -> Result<Report, String> {
     let schedule = Schedule::draw(options.seed);
     let site = Site::start(BOXES, &options.setup())?;
-    site.world.seen().checker.grant(GRACE_MS);
-    for (one, wait_ms) in site.boxes.iter().zip(&schedule.waits_ms) {
-        one.wait(*wait_ms);
+    site.world.observations().checker.set_grace(GRACE_MS);
+    for (one, wait_ms) in site.boxes.iter().zip(&schedule.answer_delays_ms) {
+        one.set_answer_delay(*wait_ms);
     }
     let clients = Arc::new(Clients {
         world: site.world.clone(),
-        routers: (0..ROUTERS).map(|_| Mutex::new(Reach::default())).collect(),
+        routers: (0..ROUTERS).map(|_| Mutex::new(RouterState::default())).collect(),
         sessions: Mutex::default(),
         deadline_scale: schedule.deadline_scale,
         until: site.world.now() + LOAD_MS,
@@ -126,12 +126,12 @@
             dir: &self.site.dir,
             program: self.options.daemon.as_deref(),
             operator: None,
-            board: self.site.board.address,
-            known: self.site.board.known(),
+            discovery: self.site.discovery.address,
+            known: self.site.discovery.known(),
             seed: self.options.seed.wrapping_add(number as u64),
             name: &name,
             instances: ROUTERS,
-            beside: Some(Beside { listen, number }),
+            shared_listener: Some(SharedListener { listen, number }),
             deadline_scale: self.schedule.deadline_scale,
             environment: &self.site.environment,
         })?;
@@ -141,14 +141,15 @@
 
     fn start_routers(&mut self) -> Result<(), String> {
         for router in 0..ROUTERS {
-            let daemon = self.spawn(router, self.site.world.own.any())?;
+            let daemon = self.spawn(router, self.site.world.loopback.any_port())?;
             let (ending, told, evacuated_at) = (None, false, None);
             self.slots.push(Slot { current: Some(daemon), ending, told, evacuated_at, processes: 1 });
         }
         for (slot, reach) in self.slots.iter_mut().zip(&self.clients.routers) {
             let Some(daemon) = &mut slot.current else { continue };
-            daemon.until_ready(true)?;
-            *lock(reach) = Reach { address: Some(daemon.address), welcomes: true, killed_at: None };
+            daemon.wait_until_ready(true)?;
+            *lock(reach) =
+                RouterState { address: Some(daemon.address), accepts_connections: true, killed_at: None };
         }
         Ok(())
     }
@@ -197,7 +198,7 @@
             Act::Rejoin(router) => {
                 if self.call(router, &Call::Rejoin) {
                     self.slots[router].evacuated_at = None;
-                    lock(&self.clients.routers[router]).welcomes = true;
+                    lock(&self.clients.routers[router]).accepts_connections = true;
                     self.later.push((now + READY_MS, Later::ReadyBy(router)));
                 }
             }
@@ -206,7 +207,7 @@
                     return Ok(());
                 };
                 let mut new = self.spawn(router, listen)?;
-                new.until_ready(true)?;
+                new.wait_until_ready(true)?;
                 let slot = &mut self.slots[router];
                 slot.processes += 1;
                 slot.ending = slot.current.replace(new);
@@ -215,16 +216,19 @@
             Act::Reload(router) => self.told(router).iter().for_each(|daemon| daemon.reload()),
             Act::Crowd(router) => {
                 let address = lock(&self.clients.routers[router]).address;
-                let one = || address.and_then(|at| TcpStream::connect_timeout(&at, CONNECT_PATIENCE).ok());
+                let one = || address.and_then(|at| TcpStream::connect_timeout(&at, CONNECT_TIMEOUT).ok());
                 self.crowd.extend((0..CROWD).map_while(|_| one()));
             }
             Act::Fail(at, failure) => {
-                self.site.boxes[at].ways.iter().for_each(|way| way.fail(failure));
+                self.site.boxes[at].endpoints.iter().for_each(|endpoint| endpoint.fail(failure));
             }
             Act::Heal(at) => {
-                self.site.boxes[at].ways.iter().for_each(|way| way.fail(crate::machines::Failure::None));
+                self.site.boxes[at]
+                    .endpoints
+                    .iter()
+                    .for_each(|endpoint| endpoint.fail(crate::machines::Failure::None));
             }
-            Act::Leave(at) => self.site.tell(at, Status::Leaving, None),
+            Act::Leave(at) => self.site.announce_status(at, Status::Leaving, None),
         }
         Ok(())
     }
@@ -247,7 +251,7 @@
         if slot.ending.is_none() {
             self.later.push((now + LEFT_MS, Later::FrontLeaves(router)));
         }
-        let longest = CLASSES.iter().map(|class| class.patience_ms).fold(0.0, f64::max);
+        let longest = CLASSES.iter().map(|class| class.client_timeout_ms).fold(0.0, f64::max);
         let longest = (longest * self.schedule.deadline_scale).min(LONGEST_MS);
         self.later.push((now + longest + KILL_MORE_MS, Later::Kill(router)));
     }
@@ -259,7 +263,7 @@
                 // It may have been called back since.
                 let slot = &self.slots[router];
                 let leaves = slot.evacuated_at.is_some() || (slot.told && slot.ending.is_none());
-                lock(&self.clients.routers[router]).welcomes &= !leaves;
+                lock(&self.clients.routers[router]).accepts_connections &= !leaves;
             }
             Later::Audit(router) => self.audit(router),
             Later::Kill(router) => self.kill(router),
@@ -293,12 +297,12 @@
         let now = self.now();
         let slot = &mut self.slots[router];
         let Some(mut daemon) = slot.ending.take().or_else(|| slot.current.take()) else { return };
-        if daemon.runs() {
+        if daemon.is_running() {
             lock(&self.clients.routers[router]).killed_at = Some(now);
             daemon.kill();
             self.figures.killed += 1;
             self.figures.examples.push(format!("killed: router {router} at {now:.0} ms, it still ran"));
-        } else if !daemon.ended() {
+        } else if !daemon.wait_for_exit() {
             self.figures.bad_ends += 1;
         }
     }
@@ -311,7 +315,7 @@
     fn finish(mut self) -> Report {
         for slot in &mut self.slots {
             for daemon in slot.current.take().into_iter().chain(slot.ending.take()) {
-                self.figures.bad_ends += u64::from(!daemon.end());
+                self.figures.bad_ends += u64::from(!daemon.shut_down());
             }
         }
         drop(std::mem::take(&mut self.crowd));
@@ -347,4 +351,4 @@
 }
 
 /// How long a client of a crowd waits for its connection.
-const CONNECT_PATIENCE: Duration = Duration::from_millis(100);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(100);
--- a/crates/frostturn-lab/src/scenarios/soak/schedule.rs
+++ b/crates/frostturn-lab/src/scenarios/soak/schedule.rs
@@ -38,7 +38,7 @@
     /// An endpoint's way fails so; it works again.
     Fail(usize, Failure),
     Heal(usize),
-    /// The board says that an endpoint leaves.
+    /// The discovery says that an endpoint leaves.
     Leave(usize),
 }
 
@@ -50,7 +50,7 @@
     /// What the settings' deadlines are multiplied by.
     pub deadline_scale: f64,
     /// How long each box's answers wait.
-    pub waits_ms: Vec<u64>,
+    pub answer_delays_ms: Vec<u64>,
 }
 
 impl Schedule {
@@ -59,7 +59,7 @@
         let mut rng = StdRng::seed_from_u64(seed ^ 0x50a4_d3a1);
         let deadline_scale = DEADLINE_SCALES[rng.random_range(0..DEADLINE_SCALES.len())];
         let longest_wait = if deadline_scale < 1.0 { 80 } else { 400 };
-        let waits_ms = (0..BOXES).map(|_| rng.random_range(20..longest_wait)).collect();
+        let answer_delays_ms = (0..BOXES).map(|_| rng.random_range(20..longest_wait)).collect();
         let mut steps = Vec::new();
         for router in 0..ROUTERS {
             draw_router(&mut rng, router, &mut steps);
@@ -71,7 +71,7 @@
         }
         steps.push((rng.random_range(1000.0..8000.0), Act::Leave(2)));
         steps.sort_by(|a, b| a.0.total_cmp(&b.0));
-        Self { steps, deadline_scale, waits_ms }
+        Self { steps, deadline_scale, answer_delays_ms }
     }
 }
 
--- a/crates/frostturn-lab/src/site.rs
+++ b/crates/frostturn-lab/src/site.rs
@@ -1,13 +1,13 @@
-//! A small site: boxes with several ways each, a parent and the origin, the board, and the operator's file.
+//! A small site: boxes with several endpoints each, a parent and the origin, the discovery, and the operator's file.
 
 use crate::check::{Budget, Millis, Verdict};
 use crate::clients::Load;
 use crate::daemon::{Daemon, Start};
-use crate::discovery::{Board, Told};
-use crate::machines::{Machine, Place, LANES};
+use crate::discovery::{Announcement, DiscoveryServer};
+use crate::machines::{EndpointAddress, Machine, LANES};
 use crate::report::Report;
 use crate::shims::Shims;
-use crate::world::{unix_ms, Seen, World};
+use crate::world::{unix_ms, Observations, World};
 use serde_json::{json, Value};
 use std::collections::BTreeSet;
 use std::fmt::Write as _;
@@ -15,7 +15,7 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Arc;
 
-/// How a machine stands on the board.
+/// How a machine stands on the discovery.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Status {
     Active,
@@ -26,7 +26,7 @@
 /// How a site and its daemons are set up.
 #[derive(Clone, Debug, Default)]
 pub struct Setup {
-    /// The router is told of each box's first way alone.
+    /// The router is announcement of each box's first endpoint alone.
     pub first_only: bool,
     /// Keep the daemons' files here, and have each event of each request logged.
     pub logs: Option<PathBuf>,
@@ -38,7 +38,7 @@
 #[derive(Debug)]
 pub struct Site {
     pub world: Arc<World>,
-    pub board: Arc<Board>,
+    pub discovery: Arc<DiscoveryServer>,
     /// Cache boxes, then the parent and the origin.
     pub boxes: Vec<Arc<Machine>>,
     pub dir: PathBuf,
@@ -49,7 +49,7 @@
     keeps: bool,
 }
 
-/// One machine as the board lists it.
+/// One machine as the discovery lists it.
 pub fn entry(name: &str, address: std::net::SocketAddr, kind: &str, status: Status, since_ms: f64) -> Value {
     let status = match status {
         Status::Active => "active",
@@ -82,14 +82,14 @@
         let listed: Vec<Value> =
             boxes.iter().map(|one| entry(&one.name, one.address(), one.kind, Status::Active, 0.0)).collect();
         let pool = json!({ "pool": { "index": 1, "snapshot": true, "endpoints": listed } });
-        let board = Board::start(&world, pool).map_err(io)?;
+        let discovery = DiscoveryServer::start(&world, pool).map_err(io)?;
         let mut environment = setup.shims.environment(&dir).map_err(io)?;
         if setup.logs.is_some() {
             environment.push(("FROSTTURN_LOG_LEVEL".to_owned(), "debug".to_owned()));
         }
         let site = Self {
             world,
-            board,
+            discovery,
             boxes,
             operator: dir.join("operator.scm"),
             dir,
@@ -101,19 +101,20 @@
         Ok(site)
     }
 
-    /// Writes the operator's file, without the ways that are taken away.
+    /// Writes the operator's file, without the endpoints that are taken away.
     pub fn write_operator(&self, without: &BTreeSet<(usize, usize)>) -> Result<(), String> {
         let order = if self.first_only { "unix" } else { "unix ipv6 ipv4" };
         let mut text =
             format!("(frostturn (addresses (order {order}) (attempt-delay 20ms 80ms) (names checked)\n");
         for one in &self.boxes {
-            let ways = one.ways.iter().enumerate().filter(|(at, _)| !without.contains(&(one.index, *at)));
-            let ways = ways.take(if self.first_only { 1 } else { one.ways.len() });
+            let endpoints =
+                one.endpoints.iter().enumerate().filter(|(at, _)| !without.contains(&(one.index, *at)));
+            let endpoints = endpoints.take(if self.first_only { 1 } else { one.endpoints.len() });
             let mut listed = String::new();
-            for (_, way) in ways {
-                let _ = match &way.place {
-                    Place::Unix(path) => write!(listed, " (unix \"{}\")", path.display()),
-                    Place::Tcp(address) => write!(listed, " (tcp \"{address}\")"),
+            for (_, endpoint) in endpoints {
+                let _ = match &endpoint.address {
+                    EndpointAddress::Unix(path) => write!(listed, " (unix \"{}\")", path.display()),
+                    EndpointAddress::Tcp(address) => write!(listed, " (tcp \"{address}\")"),
                 };
             }
             if listed.is_empty() {
@@ -133,53 +134,56 @@
     /// Starts the daemon.
     pub fn daemon(&self, program: Option<&Path>, plain: bool, seed: u64) -> Result<Daemon, String> {
         let operator = (!plain).then_some(self.operator.as_path());
-        let known = self.board.known();
-        let board = self.board.address;
+        let known = self.discovery.known();
+        let discovery = self.discovery.address;
         Daemon::start(&Start {
             dir: &self.dir,
             program,
             operator,
-            board,
+            discovery,
             known,
             seed,
             name: "lab",
             instances: 1,
-            beside: None,
+            shared_listener: None,
             deadline_scale: 1.0,
             environment: &self.environment,
         })
     }
 
-    /// Has the board tell how a box stands; `cold_for` from a start now.
-    pub fn tell(&self, index: usize, status: Status, cold: Option<(Millis, Budget)>) {
+    /// Has the discovery tell how a box stands; `cold_for` from a start now.
+    pub fn announce_status(&self, index: usize, status: Status, cold: Option<(Millis, Budget)>) {
         let one = &self.boxes[index];
         let since = if cold.is_some() { unix_ms() } else { 0.0 };
         let now = self.world.now();
         {
-            let mut seen = self.world.seen();
+            let mut seen = self.world.observations();
             if status == Status::Active {
-                seen.checker.told(index, None);
+                seen.checker.set_drained(index, None);
             }
             if let Some((cold_ms, budget)) = cold {
                 seen.checker.started_cold(index, now, now + cold_ms, budget);
             }
         }
-        let told = (status != Status::Active).then_some(Told::Drains(index));
-        self.tell_entry(entry(&one.name, one.address(), "std", status, since.floor()), told);
+        let announcement = (status != Status::Active).then_some(Announcement::Draining(index));
+        self.announce_entry(entry(&one.name, one.address(), "std", status, since.floor()), announcement);
     }
 
-    /// Has the board tell one entry.
-    pub fn tell_entry(&self, entry: Value, told: Option<Told>) {
-        self.board.tell(json!({ "pool": { "index": 1, "snapshot": false, "endpoints": [entry] } }), told);
+    /// Has the discovery tell one entry.
+    pub fn announce_entry(&self, entry: Value, announcement: Option<Announcement>) {
+        self.discovery.publish(
+            json!({ "pool": { "index": 1, "snapshot": false, "endpoints": [entry] } }),
+            announcement,
+        );
     }
 
-    /// Has the board tell of a purge, now.
+    /// Has the discovery tell of a purge, now.
     pub fn purge(&self, object: u64) {
         let made = unix_ms().floor();
         // They hold what is from before for a while: until then the router must ask for younger copies.
         self.boxes.iter().for_each(|one| one.purge(object, made));
         let event = json!({ "flush": { "asset": format!("{object:016x}"), "ms": made } });
-        self.board.tell(event, Some(Told::Purged(object, made)));
+        self.discovery.publish(event, Some(Announcement::Purged(object, made)));
     }
 
     /// Ends all and puts the figures together.
@@ -189,10 +193,10 @@
         seed: u64,
         daemon: Daemon,
         load: &Load,
-    ) -> (Report, Seen, Result<(), String>) {
-        let (cpu_ms, peak_kb) = daemon.used();
+    ) -> (Report, Observations, Result<(), String>) {
+        let (cpu_ms, peak_kb) = daemon.resource_usage();
         let log = std::fs::read_to_string(&daemon.log).unwrap_or_default();
-        let well = daemon.end();
+        let well = daemon.shut_down();
         self.world.end();
         let mut seen = self.world.take();
         let Verdict { requests, served, refused, failed, rules, mut examples } =
--- a/crates/frostturn-lab/src/world.rs
+++ b/crates/frostturn-lab/src/world.rs
@@ -1,7 +1,7 @@
 //! What all stand-ins share: the clock, the checker, and what was seen of connections.
 
 use crate::check::{Checker, Millis};
-use crate::loopback::OwnIp;
+use crate::loopback::ReservedIp;
 use std::collections::BTreeMap;
 use std::fs::File;
 use std::io::Write;
@@ -15,8 +15,8 @@
 pub struct First {
     /// The machine.
     pub machine: usize,
-    /// The way by which it came.
-    pub way: usize,
+    /// The endpoint by which it came.
+    pub endpoint: usize,
     /// When it was whole at the machine.
     pub at: Millis,
     /// From when its client sent it.
@@ -28,33 +28,33 @@
 
 /// What stand-ins note beside the rules.
 #[derive(Debug, Default)]
-pub struct Seen {
+pub struct Observations {
     /// The rules.
     pub checker: Checker,
-    /// Connections accepted: machine, way, when.
+    /// Connections accepted: machine, endpoint, when.
     pub accepts: Vec<(usize, usize, Millis)>,
     /// First requests on connections.
-    pub firsts: Vec<First>,
+    pub first_requests: Vec<First>,
     /// Times from client to machine of all other requests, for comparison.
-    pub usual: Vec<Millis>,
-    /// Requests that came on a way that fails, and resets under what was not read.
-    pub paid: Vec<(usize, usize, Millis)>,
-    /// Connections that are open, by machine and way.
-    pub open: BTreeMap<(usize, usize), i64>,
-    /// Requests that came on a way that somebody else than their machine answers.
+    pub usual_delays_ms: Vec<Millis>,
+    /// Requests that came on a endpoint that fails, and resets under what was not read.
+    pub failed_endpoint_requests: Vec<(usize, usize, Millis)>,
+    /// Connections that are open, by machine and endpoint.
+    pub open_connections: BTreeMap<(usize, usize), i64>,
+    /// Requests that came on a endpoint that somebody else than their machine answers.
     pub wrong_name: u64,
-    /// New connections carrying work on a way that a new operator's file had taken away.
+    /// New connections carrying work on a endpoint that a new operator's file had taken away.
     pub after_reload: u64,
     /// Ways that were taken away, and when.
-    pub taken_away: BTreeMap<(usize, usize), Millis>,
+    pub removed_endpoints: BTreeMap<(usize, usize), Millis>,
     /// Answers from what a box held, and all, of photos and of other objects.
-    pub held: [(u64, u64); 2],
+    pub cache_answers: [(u64, u64); 2],
     /// What the daemon logged; only to see that a scenario was what it claims to be.
     pub log: String,
     /// Requests that came: machine, when.
     pub arrivals: Vec<(usize, Millis)>,
     /// Connections from before then get no more requests: the front leaves a router that is told to end.
-    pub retired: Millis,
+    pub retired_before: Millis,
 }
 
 /// One run's surroundings.
@@ -62,19 +62,19 @@
 pub struct World {
     start: Instant,
     /// Where its routers and machines listen.
-    pub own: OwnIp,
-    seen: Mutex<Seen>,
-    over: AtomicBool,
+    pub loopback: ReservedIp,
+    seen: Mutex<Observations>,
+    ended: AtomicBool,
     /// What the stand-ins did, a line an event, where the run keeps its logs.
     events: Option<Mutex<File>>,
 }
 
 impl World {
-    /// It begins now; what its stand-ins do goes to a file, if one is named. An error: see [`OwnIp::take`].
+    /// It begins now; what its stand-ins do goes to a file, if one is named. An error: see [`ReservedIp::take`].
     pub fn new(events: Option<&Path>) -> std::io::Result<Self> {
-        let (start, own) = (Instant::now(), OwnIp::take()?);
+        let (start, loopback) = (Instant::now(), ReservedIp::take()?);
         let events = events.map(File::create).transpose()?.map(Mutex::new);
-        Ok(Self { start, own, seen: Mutex::default(), over: AtomicBool::new(false), events })
+        Ok(Self { start, loopback, seen: Mutex::default(), ended: AtomicBool::new(false), events })
     }
 
     /// Writes what a stand-in did, if that is kept.
@@ -92,23 +92,23 @@
     }
 
     /// What was seen.
-    pub fn seen(&self) -> MutexGuard<'_, Seen> {
+    pub fn observations(&self) -> MutexGuard<'_, Observations> {
         self.seen.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 
     /// Takes all that was seen.
-    pub fn take(&self) -> Seen {
-        std::mem::take(&mut *self.seen())
+    pub fn take(&self) -> Observations {
+        std::mem::take(&mut *self.observations())
     }
 
     /// All stand-ins end.
     pub fn end(&self) {
-        self.over.store(true, Ordering::SeqCst);
+        self.ended.store(true, Ordering::SeqCst);
     }
 
     /// Whether they are to end.
-    pub fn over(&self) -> bool {
-        self.over.load(Ordering::SeqCst)
+    pub fn ended(&self) -> bool {
+        self.ended.load(Ordering::SeqCst)
     }
 }
 
--- a/crates/frostturn-lab/tests/clients.rs
+++ b/crates/frostturn-lab/tests/clients.rs
@@ -13,12 +13,12 @@
 use std::time::{Duration, Instant};
 
 /// How long the test waits for a state before it fails.
-const PATIENCE: Duration = Duration::from_secs(20);
+const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
 fn until(what: &str, mut holds: impl FnMut() -> bool) {
     let from = Instant::now();
     while !holds() {
-        assert!(from.elapsed() < PATIENCE, "waited in vain: {what}");
+        assert!(from.elapsed() < WAIT_TIMEOUT, "waited in vain: {what}");
         thread::sleep(Duration::from_millis(2));
     }
 }
@@ -127,7 +127,7 @@
     router.close_all_but(0);
     let load = load.join().expect("no panic");
     drop(fillers);
-    let verdict = std::mem::take(&mut world.seen().checker).finish();
+    let verdict = std::mem::take(&mut world.observations().checker).finish();
     assert_eq!(verdict.rules.lost, 0, "{:?}", verdict.examples);
     assert!(load.unsent > 0 && verdict.requests > 0, "{} unsent, {} sent", load.unsent, verdict.requests);
 }
--- a/crates/frostturn-lab/tests/fleet.rs
+++ b/crates/frostturn-lab/tests/fleet.rs
@@ -3,7 +3,7 @@
 
 use frostturn::fleet::{QuorumStatus, Reachability, State};
 use frostturn_lab::fleet::audit;
-use frostturn_lab::fleet::check::{Said, Word};
+use frostturn_lab::fleet::check::{FleetEvent, LoggedEvent};
 use frostturn_lab::relay::Link;
 use frostturn_lab::rig::Rig;
 use frostturn_lab::site::Setup;
@@ -21,8 +21,8 @@
 
 /// Waits until all that are told stand and see each other.
 fn whole(rig: &Rig, these: &[usize]) {
-    rig.until("all know each other", |rig| {
-        these.iter().all(|at| rig.stands(*at, "majority") && rig.sees(*at, these, Alive))
+    rig.wait_until("all know each other", |rig| {
+        these.iter().all(|at| rig.has_status(*at, "majority") && rig.sees(*at, these, Alive))
     })
     .unwrap();
 }
@@ -36,22 +36,24 @@
 }
 
 /// All words of one's processes, in order.
-fn words(rig: &Rig, by: usize) -> Vec<Said> {
+fn words(rig: &Rig, by: usize) -> Vec<LoggedEvent> {
     let logs = rig.slots[by].logs.iter().enumerate();
-    logs.flat_map(|(start, log)| audit::read(&std::fs::read_to_string(log).unwrap_or_default(), by, start).0)
-        .collect()
+    logs.flat_map(|(start, log)| {
+        audit::parse_log(&std::fs::read_to_string(log).unwrap_or_default(), by, start).0
+    })
+    .collect()
 }
 
 /// When anybody first called one gone.
 fn first_gone(rig: &Rig, one: usize) -> Option<f64> {
-    let gone = |said: &Said| matches!(said.word, Word::Of { other, state: Gone, .. } if other == one);
+    let gone = |said: &LoggedEvent| matches!(said.event, FleetEvent::MemberChanged { other, state: Gone, .. } if other == one);
     all(rig).iter().flat_map(|by| words(rig, *by)).filter(gone).map(|said| said.at).min_by(f64::total_cmp)
 }
 
 /// When one's standing first ended, by what it said of that.
 fn first_cut_off(rig: &Rig, one: usize) -> Option<f64> {
-    words(rig, one).iter().find_map(|said| match said.word {
-        Word::Standing { says: QuorumStatus::CutOff, since, .. } => Some(since),
+    words(rig, one).iter().find_map(|said| match said.event {
+        FleetEvent::StatusChanged { status: QuorumStatus::CutOff, since, .. } => Some(since),
         _ => None,
     })
 }
@@ -77,14 +79,17 @@
 fn one_that_dies_is_gone_and_its_next_start_is_taken_at_once_early_or_late() {
     let mut rig = rig(3, "");
     rig.kill(1);
-    rig.until("the others call it gone", |rig| [0, 2].iter().all(|at| rig.sees(*at, &[1], Gone))).unwrap();
+    rig.wait_until("the others call it gone", |rig| [0, 2].iter().all(|at| rig.sees(*at, &[1], Gone)))
+        .unwrap();
     rig.spawn(1, true, true).expect("it starts again");
     whole(&rig, &[0, 1, 2]);
     let before = rig.view(0).unwrap().members[0].start.clone();
     rig.kill(1);
     rig.spawn(1, true, true).expect("and at once again");
-    rig.until("its new start is known", |rig| rig.view(0).is_some_and(|view| view.members[0].start > before))
-        .unwrap();
+    rig.wait_until("its new start is known", |rig| {
+        rig.view(0).is_some_and(|view| view.members[0].start > before)
+    })
+    .unwrap();
     whole(&rig, &[0, 1, 2]);
 }
 
@@ -92,13 +97,13 @@
 fn a_third_dies_at_once_then_all_but_one_which_calls_nobody_gone_and_all_come_back() {
     let mut rig = rig(6, QUICK);
     [1, 2].iter().for_each(|one| rig.kill(*one));
-    rig.until("four call two gone", |rig| {
-        [0, 3, 4, 5].iter().all(|at| rig.sees(*at, &[1, 2], Gone) && rig.stands(*at, "majority"))
+    rig.wait_until("four call two gone", |rig| {
+        [0, 3, 4, 5].iter().all(|at| rig.sees(*at, &[1, 2], Gone) && rig.has_status(*at, "majority"))
     })
     .unwrap();
     [3, 4, 5].iter().for_each(|one| rig.kill(*one));
-    rig.until("the last one knows that it is alone", |rig| {
-        rig.stands(0, "cut-off") && rig.sees(0, &[3, 4, 5], Suspect)
+    rig.wait_until("the last one knows that it is alone", |rig| {
+        rig.has_status(0, "cut-off") && rig.sees(0, &[3, 4, 5], Suspect)
     })
     .unwrap();
     rig.start_all(true).expect("all start again");
@@ -110,7 +115,7 @@
 fn one_that_stands_still_is_gone_knows_it_when_it_wakes_and_is_back_without_a_restart() {
     let rig = rig(5, QUICK);
     rig.pause(3, true);
-    rig.until("the others call it gone", |rig| [0, 1, 2, 4].iter().all(|at| rig.sees(*at, &[3], Gone)))
+    rig.wait_until("the others call it gone", |rig| [0, 1, 2, 4].iter().all(|at| rig.sees(*at, &[3], Gone)))
         .unwrap();
     rig.pause(3, false);
     whole(&rig, &all(&rig));
@@ -123,9 +128,9 @@
 #[test]
 fn one_that_is_not_heard_knows_it_first_and_one_that_does_not_hear_is_cut_off_and_not_gone() {
     let rig = rig(5, QUICK);
-    rig.links(CUT, |from, _| from == 2);
-    rig.until("it is gone, and cut off", |rig| {
-        rig.stands(2, "cut-off") && [0, 1, 3, 4].iter().all(|at| rig.sees(*at, &[2], Gone))
+    rig.set_links(CUT, |from, _| from == 2);
+    rig.wait_until("it is gone, and cut off", |rig| {
+        rig.has_status(2, "cut-off") && [0, 1, 3, 4].iter().all(|at| rig.sees(*at, &[2], Gone))
     })
     .unwrap();
     assert!(
@@ -134,32 +139,32 @@
         first_cut_off(&rig, 2),
         first_gone(&rig, 2)
     );
-    rig.until("it hears them, one way", |rig| path(rig, 2, 0) == Some(Reachability::OneWay)).unwrap();
-    rig.links(Link::default(), |_, _| true);
+    rig.wait_until("it hears them, one way", |rig| path(rig, 2, 0) == Some(Reachability::OneWay)).unwrap();
+    rig.set_links(Link::default(), |_, _| true);
     whole(&rig, &all(&rig));
-    rig.links(CUT, |_, to| to == 4);
-    rig.until("it is cut off, and heard", |rig| {
-        rig.stands(4, "cut-off")
+    rig.set_links(CUT, |_, to| to == 4);
+    rig.wait_until("it is cut off, and heard", |rig| {
+        rig.has_status(4, "cut-off")
             && [0, 1, 2, 3].iter().all(|at| path(rig, *at, 4) == Some(Reachability::OneWay))
     })
     .unwrap();
-    assert!([0, 1, 2, 3].iter().all(|at| rig.sees(*at, &[4], Alive) && rig.stands(*at, "majority")));
+    assert!([0, 1, 2, 3].iter().all(|at| rig.sees(*at, &[4], Alive) && rig.has_status(*at, "majority")));
     assert_eq!(first_gone(&rig, 4), None);
-    rig.links(Link::default(), |_, _| true);
+    rig.set_links(Link::default(), |_, _| true);
     whole(&rig, &all(&rig));
 }
 
 #[test]
 fn what_only_helpers_can_carry_keeps_all_alive_a_cut_pair_and_a_chain() {
     let rig = rig(5, "");
-    rig.links(CUT, |from, to| (from, to) == (0, 1));
-    rig.until("the pair sees that it is one-sided", |rig| {
+    rig.set_links(CUT, |from, to| (from, to) == (0, 1));
+    rig.wait_until("the pair sees that it is one-sided", |rig| {
         path(rig, 0, 1) == Some(Reachability::OneWay) && path(rig, 1, 0) == Some(Reachability::OneWay)
     })
     .unwrap();
-    rig.links(Link::default(), |_, _| true);
-    rig.links(CUT, |from, to| from.abs_diff(to) > 1);
-    rig.until("the ends hear each other through others", |rig| {
+    rig.set_links(Link::default(), |_, _| true);
+    rig.set_links(CUT, |from, to| from.abs_diff(to) > 1);
+    rig.wait_until("the ends hear each other through others", |rig| {
         path(rig, 0, 4) == Some(Reachability::Relayed) && path(rig, 4, 0) == Some(Reachability::Relayed)
     })
     .unwrap();
@@ -172,13 +177,13 @@
 #[test]
 fn halves_stand_still_call_nobody_gone_and_are_whole_again_after_the_cut() {
     let rig = rig(6, QUICK);
-    rig.links(CUT, |from, to| (from < 3) != (to < 3));
-    rig.until("no half stands", |rig| {
-        (0..3).all(|at| rig.stands(at, "cut-off") && rig.sees(at, &[3, 4, 5], Suspect))
-            && (3..6).all(|at| rig.stands(at, "cut-off") && rig.sees(at, &[0, 1, 2], Suspect))
+    rig.set_links(CUT, |from, to| (from < 3) != (to < 3));
+    rig.wait_until("no half stands", |rig| {
+        (0..3).all(|at| rig.has_status(at, "cut-off") && rig.sees(at, &[3, 4, 5], Suspect))
+            && (3..6).all(|at| rig.has_status(at, "cut-off") && rig.sees(at, &[0, 1, 2], Suspect))
     })
     .unwrap();
-    rig.links(Link::default(), |_, _| true);
+    rig.set_links(Link::default(), |_, _| true);
     whole(&rig, &all(&rig));
     assert!(all(&rig).iter().all(|one| first_gone(&rig, *one).is_none()));
 }
@@ -191,35 +196,39 @@
     let started = [0, 2].map(|by| (by, words(&rig, by).len()));
     let old = rig.spawn(1, true, true).expect("beside the old one").expect("there was one");
     old.terminate();
-    rig.until("the new one speaks", |rig| rig.view(0).is_some_and(|view| view.members[0].start > before))
-        .unwrap();
-    assert!(old.ended());
+    rig.wait_until("the new one speaks", |rig| {
+        rig.view(0).is_some_and(|view| view.members[0].start > before)
+    })
+    .unwrap();
+    assert!(old.wait_for_exit());
     whole(&rig, &[0, 1, 2]);
-    let blinked = |said: &Said| matches!(said.word, Word::Of { other: 1, state, .. } if state != Alive);
+    let blinked = |said: &LoggedEvent| matches!(said.event, FleetEvent::MemberChanged { other: 1, state, .. } if state != Alive);
     let since = started.iter().flat_map(|(by, said)| words(&rig, *by).split_off(*said));
     assert!(!since.into_iter().any(|said| blinked(&said)), "{}", rig.log(0));
-    // With nobody beside it, it says that it ends, and is not waited for.
+    // With nobody beside it, it status that it ends, and is not waited for.
     let last = rig.slots[1].process.take().expect("it runs");
     last.terminate();
-    rig.until("it has left", |rig| [0, 2].iter().all(|at| rig.sees(*at, &[1], Left))).unwrap();
-    assert!(last.ended());
+    rig.wait_until("it has left", |rig| [0, 2].iter().all(|at| rig.sees(*at, &[1], Left))).unwrap();
+    assert!(last.wait_for_exit());
 }
 
 #[test]
 fn half_are_upgraded_while_one_is_cut_off() {
     let mut rig = rig(5, QUICK);
-    rig.links(CUT, |from, to| (from == 4) != (to == 4));
-    rig.until("one is gone", |rig| (0..4).all(|at| rig.sees(at, &[4], Gone)) && rig.stands(4, "cut-off"))
-        .unwrap();
+    rig.set_links(CUT, |from, to| (from == 4) != (to == 4));
+    rig.wait_until("one is gone", |rig| {
+        (0..4).all(|at| rig.sees(at, &[4], Gone)) && rig.has_status(4, "cut-off")
+    })
+    .unwrap();
     for one in [0, 1] {
         let old = rig.spawn(one, true, true).expect("beside the old one").expect("there was one");
         old.terminate();
-        rig.until("the new one speaks", |rig| rig.stands(one, "majority")).unwrap();
-        assert!(old.ended());
+        rig.wait_until("the new one speaks", |rig| rig.has_status(one, "majority")).unwrap();
+        assert!(old.wait_for_exit());
     }
     // New starts have never heard the one behind the cut, and call it gone all the same.
-    rig.until("the new ones say so too", |rig| (0..4).all(|at| rig.sees(at, &[4], Gone))).unwrap();
-    rig.links(Link::default(), |_, _| true);
+    rig.wait_until("the new ones say so too", |rig| (0..4).all(|at| rig.sees(at, &[4], Gone))).unwrap();
+    rig.set_links(Link::default(), |_, _| true);
     whole(&rig, &all(&rig));
 }
 
@@ -231,7 +240,7 @@
     // The second now listens where the first did, and whatever was for the first still goes there.
     rig.move_to(2, one).unwrap();
     rig.spawn(2, true, true).expect("it starts");
-    rig.until("three are whole, one is gone", |rig| {
+    rig.wait_until("three are whole, one is gone", |rig| {
         [0, 2, 3].iter().all(|at| rig.sees(*at, &[0, 2, 3], Alive) && rig.sees(*at, &[1], Gone))
     })
     .unwrap();
@@ -244,7 +253,7 @@
 fn junk_in_plenty_is_counted_and_changes_nothing() {
     let rig = rig(3, "");
     let socket = UdpSocket::bind("127.0.0.1:0").expect("a socket");
-    let real: Vec<Vec<u8>> = rig.relays.latest.lock().unwrap().iter().cloned().collect();
+    let real: Vec<Vec<u8>> = rig.relays.recent.lock().unwrap().iter().cloned().collect();
     assert!(!real.is_empty());
     for round in 0..20_000usize {
         let mut bytes = real[round % real.len()].clone();
@@ -261,7 +270,7 @@
         let ops = rig.slots[at].process.as_ref().and_then(|one| one.ops).expect("it runs");
         format!("{:?}", frostturn_lab::daemon::call(ops, &frostturn::ops::Call::Telemetry))
     };
-    rig.until("it is counted", |_| !status(0).contains("\\\"refused\\\":0,")).unwrap();
+    rig.wait_until("it is counted", |_| !status(0).contains("\\\"refused\\\":0,")).unwrap();
     assert!((0..3).all(|one| first_gone(&rig, one).is_none()));
 }
 
@@ -271,14 +280,14 @@
     let mut rig = rig(18, QUICK);
     let rest: Vec<usize> = (2..18).collect();
     rig.kill(1);
-    rig.links(CUT, |from, to| (from == 0) != (to == 0));
-    rig.until("the rest calls both gone, and one knows that it is cut off", |rig| {
-        rig.stands(0, "cut-off")
-            && rest.iter().all(|at| rig.sees(*at, &[0, 1], Gone) && rig.stands(*at, "majority"))
+    rig.set_links(CUT, |from, to| (from == 0) != (to == 0));
+    rig.wait_until("the rest calls both gone, and one knows that it is cut off", |rig| {
+        rig.has_status(0, "cut-off")
+            && rest.iter().all(|at| rig.sees(*at, &[0, 1], Gone) && rig.has_status(*at, "majority"))
     })
     .unwrap();
     assert!(first_cut_off(&rig, 0) < first_gone(&rig, 0), "it knew first");
-    rig.links(Link::default(), |_, _| true);
+    rig.set_links(Link::default(), |_, _| true);
     rig.spawn(1, true, true).expect("it starts again");
     whole(&rig, &all(&rig));
 }
