--- a/crates/frostturn-lab/src/check.rs
+++ b/crates/frostturn-lab/src/check.rs
@@ -1,6 +1,7 @@
-//! The rules, checked from outside: what clients sent and got, what arrived at machines, what the discovery told.
+//! Checks the routing rules from outside: by what clients sent and received, what machines received and
+//! what the discovery service announced.
 //!
-//! Pure: events go in with their times, a verdict comes out. Nothing is taken from the router's own counters.
+//! Pure: takes events with their times and gives a verdict, without the router's own counters.
 
 use serde::Serialize;
 use std::collections::{BTreeMap, HashMap};
@@ -8,57 +9,59 @@
 /// Milliseconds since the run began.
 pub type Millis = f64;
 
-/// Work may still arrive at a machine for so long after it was told to drain: the rule's second, and 50 ms.
+/// Time after the announcement of a drain within which work may still arrive: the rule's one second, and 50
+/// ms.
 const DRAIN_MS: Millis = 1050.0;
-/// As long after a purge an older copy may still answer.
+/// Time after the announcement of a purge within which an older copy may still be served.
 const PURGE_MS: Millis = 1050.0;
-/// An answer this late after the client has given up is counted as none; the stand-ins themselves may be late.
+/// An answer later than this after the client's timeout counts as lost; the stand-ins themselves may be
+/// late.
 const LATE_MS: Millis = 100.0;
 
-/// What a client got.
+/// Answer that a client received.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Answer {
-    /// Served, with a copy of that Unix time; 0: not a copy.
+    /// Served, with a copy of this Unix time; 0: not a copy.
     Served { stamp_ms: f64 },
     /// Refused: a retry does no harm.
     Refused,
-    /// Anything else.
+    /// Any other answer.
     Failed,
 }
 
-/// Broken rules, by rule.
+/// Number of violations of each rule.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Rules {
-    /// Requests without exactly one final answer before their client gave up.
+    /// Requests without exactly one final answer before their client's timeout.
     pub lost: u64,
-    /// Requests that went out again though they might have run.
+    /// Requests that were sent again although they might have been executed.
     pub doubled: u64,
-    /// Work that arrived at a machine over a second after it was to get none.
+    /// Work that arrived at a machine more than a second after its drain was announced.
     pub drain: u64,
-    /// Windows in which a cold machine was asked for more than its budget.
+    /// Cold starts in which a machine received more than its budget within a second.
     pub cold: u64,
     /// Answers with a copy from before a purge.
     pub purge: u64,
 }
 
 impl Rules {
-    /// Whether none is broken.
+    /// Returns whether no rule was violated.
     pub fn kept(&self) -> bool {
         *self == Self::default()
     }
 }
 
-/// What a run came to.
+/// Result of a run.
 #[derive(Clone, Debug, Default)]
 pub struct Verdict {
-    /// Requests, and how they ended.
+    /// Number of requests by their result.
     pub requests: u64,
     pub served: u64,
     pub refused: u64,
     pub failed: u64,
-    /// Broken rules.
+    /// Rule violations.
     pub rules: Rules,
-    /// Some of them in words.
+    /// Descriptions of some violations.
     pub examples: Vec<String>,
 }
 
@@ -70,7 +73,7 @@
     client_timeout: Millis,
     answers: Vec<(Millis, Answer)>,
     arrivals: u64,
-    /// It crossed the router's close of its connection.
+    /// It was under way when the router closed its connection.
     crossed: bool,
 }
 
@@ -82,16 +85,16 @@
     work: Vec<Millis>,
 }
 
-/// What a second may bring a machine that warms up: so much from its start, rising evenly to so much at its end.
+/// Work that a warming machine may receive within a second. The budget rises linearly over the cold start.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Budget {
-    /// In the second that begins with the start.
+    /// For the second that begins at the start.
     pub first: f64,
-    /// In the second that begins with the end.
+    /// For the second that begins at the end.
     pub last: f64,
 }
 
-/// Gathers what happens.
+/// Collects events and checks the rules.
 #[derive(Debug, Default)]
 pub struct Checker {
     requests: HashMap<u64, Request>,
@@ -100,24 +103,25 @@
     purges: HashMap<u64, Vec<(Millis, f64)>>,
     rules: Rules,
     examples: Vec<String>,
-    /// How much later than usual an answer may be before it counts as none.
+    /// Extra time in ms before a late answer counts as lost.
     grace_ms: Millis,
 }
 
 impl Checker {
-    /// Answers may be so much later than usual before they count as none: the operators' half second, where what is
-    /// judged is whether there is an answer.
+    /// Allows answers to be this much later before they count as lost: the operators' half second, where
+    /// the check is whether there is an answer at all.
     pub fn set_grace(&mut self, grace_ms: Millis) {
         self.grace_ms = grace_ms;
     }
 
-    /// A request crossed the router's close of its connection: its client would send it again. It must not have been
-    /// sent on, as nobody has heard of its end.
+    /// Records that a request was under way when the router closed its connection. Its client would send it
+    /// again. The router must not have forwarded it, as nobody receives its result.
     pub fn crossed(&mut self, id: u64) {
         self.requests.entry(id).and_modify(|asked| asked.crossed = true);
     }
 
-    /// A client has sent a request whole, and waits so long. Its class allows `most` attempts that may run.
+    /// Records a request that a client has sent completely, with the client's timeout. Its class allows
+    /// `most` attempts that may be executed.
     pub fn request_sent(&mut self, id: u64, most: u64, object: u64, sent: Millis, client_timeout: Millis) {
         self.requests.insert(
             id,
@@ -125,7 +129,7 @@
         );
     }
 
-    /// A client has a whole answer.
+    /// Records a complete answer.
     pub fn answered(&mut self, id: u64, at: Millis, answer: Answer) {
         let Some(asked) = self.requests.get_mut(&id) else { return };
         asked.answers.push((at, answer));
@@ -138,30 +142,30 @@
             let (late, by, object) = (asked.sent - told, made - stamp_ms, asked.object);
             self.rules.purge += 1;
             self.note(format!(
-                "purge: {id:x} of {object:x}, sent {late:.0} ms after the word, got a copy {by:.0} ms older"
+                "purge: {id:x} of {object:x}, sent {late:.0} ms after the announcement, got a copy {by:.0} ms older"
             ));
         }
     }
 
-    /// A request was at a router that was killed or stopped under it, so that nobody could answer it in time: whether it
-    /// was answered doesn't count. That it ran twice still does.
+    /// Excludes a request from the checks of answers: its router was killed or stopped and could not answer
+    /// in time. A repeated execution still counts.
     pub fn excuse(&mut self, id: u64) {
         self.requests.remove(&id);
     }
 
-    /// When a request was sent.
+    /// Returns when a request was sent.
     pub fn sent_at(&self, id: u64) -> Option<Millis> {
         self.requests.get(&id).map(|asked| asked.sent)
     }
 
-    /// A request has arrived whole at a machine, where it may have run. `begun` is when its first byte came. True
-    /// if it had come to some machine before.
+    /// Records a request that a machine has received completely and may have executed. `begun` is when its
+    /// first byte arrived. Returns true if it had arrived at a machine before.
     pub fn arrived(&mut self, id: u64, machine: usize, begun: Millis) -> bool {
         self.count_work(machine, begun);
         if let Some(told) = self.drained.get(&machine).filter(|told| begun > *told + DRAIN_MS) {
             let late = begun - told;
             self.rules.drain += 1;
-            self.note(format!("drain: {id:x} came to machine {machine} {late:.0} ms after the word"));
+            self.note(format!("drain: {id:x} came to machine {machine} {late:.0} ms after the announcement"));
         }
         let Some(asked) = self.requests.get_mut(&id) else { return false };
         asked.arrivals += 1;
@@ -173,7 +177,7 @@
         again
     }
 
-    /// A connection was accepted: a handshake is work.
+    /// Records an accepted connection: a handshake counts as work.
     pub fn connection_accepted(&mut self, machine: usize, at: Millis) {
         self.count_work(machine, at);
     }
@@ -184,7 +188,8 @@
         cold.for_each(|(_, cold)| cold.work.push(at));
     }
 
-    /// The discovery has told that a machine drains or is gone; `None`: that it serves.
+    /// Records when the discovery service announced that a machine drains or is removed; `None`: that it
+    /// serves.
     pub fn set_drained(&mut self, machine: usize, drained: Option<Millis>) {
         match drained {
             Some(at) => drop(self.drained.entry(machine).or_insert(at)),
@@ -192,12 +197,13 @@
         }
     }
 
-    /// A machine has started cold: until then no second may bring more than its budget at that second's start.
+    /// Records a cold start. Until its end no second may bring more work than the budget at the beginning
+    /// of that second.
     pub fn started_cold(&mut self, machine: usize, since: Millis, until: Millis, budget: Budget) {
         self.cold.push((machine, ColdStart { since, until, budget, work: Vec::new() }));
     }
 
-    /// An object was purged at a Unix time, and the discovery told so.
+    /// Records the announcement of a purge that was made at a Unix time.
     pub fn purged(&mut self, object: u64, told: Millis, made_unix_ms: f64) {
         self.purges.entry(object).or_default().push((told, made_unix_ms));
     }
@@ -208,7 +214,7 @@
         }
     }
 
-    /// All is over.
+    /// Checks what can only be judged at the end and returns the verdict.
     pub fn finish(mut self) -> Verdict {
         let mut verdict = Verdict { requests: self.requests.len() as u64, ..Verdict::default() };
         let mut lost = Vec::new();
--- a/crates/frostturn-lab/src/check/tests.rs
+++ b/crates/frostturn-lab/src/check/tests.rs
@@ -1,4 +1,4 @@
-//! Each rule is broken once by what a wrong router would do: a check that can't fail is none.
+//! Each rule is violated by the events of a faulty router, so that no check passes unconditionally.
 
 use super::*;
 
@@ -7,7 +7,7 @@
 }
 
 #[test]
-fn a_router_that_keeps_the_rules_passes() {
+fn a_router_that_follows_the_rules_passes() {
     let mut checker = Checker::default();
     checker.request_sent(1, 1, 7, 0.0, 1000.0);
     checker.arrived(1, 0, 5.0);
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn one_that_says_nothing_late_or_twice_loses_requests() {
+fn missing_late_and_duplicate_answers_count_as_lost_requests() {
     let mut checker = Checker::default();
     (1..=3).for_each(|id| checker.request_sent(id, 2, 7, 0.0, 1000.0));
     served(&mut checker, 2, 1200.0);
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn what_a_killed_router_held_is_excused_and_nothing_else() {
+fn only_the_answers_of_a_killed_router_are_excused() {
     let mut checker = Checker::default();
     (1..=2).for_each(|id| checker.request_sent(id, 1, 7, 0.0, 1000.0));
     checker.arrived(1, 0, 5.0);
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn one_that_sends_a_swap_over_another_address_doubles_it() {
+fn a_non_repeatable_request_sent_to_a_second_address_counts_as_doubled() {
     let mut checker = Checker::default();
     checker.request_sent(1, 1, 7, 0.0, 1000.0);
     checker.request_sent(2, 2, 7, 0.0, 1000.0);
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn one_that_goes_on_sending_to_a_draining_machine_breaks_the_rule_on_drains() {
+fn requests_to_a_draining_machine_violate_the_drain_rule() {
     let mut checker = Checker::default();
     checker.set_drained(3, Some(0.0));
     for (id, at) in [(1, 900.0), (2, 1100.0)] {
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn one_that_storms_a_cold_machine_with_handshakes_breaks_its_budget() {
+fn too_many_handshakes_exceed_the_budget_of_a_cold_machine() {
     let mut checker = Checker::default();
     let budget = Budget { first: 10.0, last: 40.0 };
     checker.started_cold(2, 0.0, 5000.0, budget);
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn one_that_serves_an_older_copy_breaks_the_rule_on_purges() {
+fn an_answer_older_than_a_purge_violates_the_purge_rule() {
     let mut checker = Checker::default();
     checker.purged(7, 100.0, 5000.0);
     for (id, at, stamp_ms) in [(1, 1000.0, 4000.0), (2, 1200.0, 4000.0), (3, 1200.0, 6000.0)] {
@@ -89,18 +89,18 @@
 }
 
 #[test]
-fn what_crossed_a_close_is_sent_again_unless_it_was_sent_on() {
+fn a_request_that_crosses_a_close_is_lost_only_if_it_was_forwarded() {
     let mut checker = Checker::default();
     (1..=3).for_each(|id| checker.request_sent(id, 1, 7, 0.0, 1000.0));
     checker.crossed(1);
     checker.crossed(2);
     checker.arrived(2, 0, 5.0);
     let verdict = checker.finish();
-    assert_eq!(verdict.rules.lost, 2, "the one that was sent on, and the one that crossed nothing");
+    assert_eq!(verdict.rules.lost, 2, "the forwarded one, and the one that crossed no close");
 }
 
 #[test]
-fn an_answer_may_be_late_by_what_is_granted_and_no_more() {
+fn an_answer_may_be_late_by_the_grace_period_and_no_more() {
     let mut checker = Checker::default();
     checker.set_grace(500.0);
     (1..=2).for_each(|id| checker.request_sent(id, 1, 7, 0.0, 1000.0));
--- a/crates/frostturn-lab/src/discovery.rs
+++ b/crates/frostturn-lab/src/discovery.rs
@@ -1,4 +1,4 @@
-//! The stand-in notice discovery: numbered events over HTTP/1.1 long polls.
+//! Stand-in discovery service: numbered events over HTTP/1.1 long polls.
 
 use crate::check::Millis;
 use crate::world::World;
@@ -9,32 +9,32 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// An event counts as told after so long, whether it arrived or not.
+/// An event counts as announced after this time, delivered or not.
 const LATEST_MS: Millis = 7000.0;
 
-/// What an event tells that the rules depend on.
+/// Content of an event that the rules depend on.
 #[derive(Clone, Copy, Debug)]
 pub enum Announcement {
-    /// A machine drains or is gone.
+    /// A machine drains or is removed.
     Draining(usize),
     /// An object was purged at a Unix time.
     Purged(u64, f64),
 }
 
-/// The events so far.
+/// The discovery service with its events so far.
 #[derive(Debug)]
 pub struct DiscoveryServer {
-    /// Where it is asked.
+    /// The address on which it listens.
     pub address: SocketAddr,
     events: Mutex<Vec<Value>>,
     more: Condvar,
-    /// What is to be noted once an event has been delivered, by its number.
+    /// Announcements to record once their event has been delivered: event number, latest time, content.
     pending: Mutex<Vec<(u64, Millis, Announcement)>>,
     world: Arc<World>,
 }
 
 impl DiscoveryServer {
-    /// Starts one with the event of the start.
+    /// Starts a service with its first event.
     pub fn start(world: &Arc<World>, first: Value) -> io::Result<Arc<Self>> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let discovery = Arc::new(Self {
@@ -54,7 +54,7 @@
         Ok(discovery)
     }
 
-    /// Tells an event. It counts as told once it is delivered, and 7 s later at the latest.
+    /// Publishes an event. It counts as announced once it is delivered, and after 7 s at the latest.
     pub fn publish(&self, event: Value, told: Option<Announcement>) {
         let mut events = self.events.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
         let rev = events.len() as u64 + 1;
@@ -66,7 +66,7 @@
         self.more.notify_all();
     }
 
-    /// Notes what has been delivered up to an event, or counts as if it had been.
+    /// Records the announcements of delivered events and of those whose latest time has come.
     fn note(&self, upto: u64) {
         let now = self.world.now();
         let mut pending = self.pending.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
@@ -83,7 +83,7 @@
         }
     }
 
-    /// What a config holds of it.
+    /// Returns the events as a router's configuration has them.
     pub fn known(&self) -> Value {
         let events = self.events.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
         json!({ "rev": events.len(), "notices": *events })
--- a/crates/frostturn-lab/src/loopback.rs
+++ b/crates/frostturn-lab/src/loopback.rs
@@ -1,18 +1,21 @@
-//! A loopback address of one's own, so that a port that is free for a moment stays free.
+//! A loopback address reserved for one run, so that no other process takes its ports.
+//!
+//! Routers are configured with their ports before they start, and machines listen again on theirs after a
+//! failure. On the address that all sockets share, another process that binds port 0 in the meantime may be
+//! given one of these ports; on a reserved address no other process binds any.
 //!
-//! Routers are told their ports before they run, and machines come back to theirs. On the address that all sockets
-//! share, whoever binds port 0 meanwhile may be given one of these; on one's own nobody else binds any.
 
 use std::io;
 use std::net::{Ipv4Addr, SocketAddr, UdpSocket};
 
-/// Its holder alone binds this port; it lies outside of what the system gives for port 0.
+/// The process that binds this port has reserved the address. The port lies outside the range that the
+/// system assigns for port 0.
 const LOCK_PORT: u16 = 7401;
-/// Addresses that are tried: 127.64.0.1 and those after it.
+/// First address that is tried (127.64.0.1), and the number of addresses tried from there on.
 const FIRST_ADDRESS: u32 = 0x7f40_0001;
 const MAX_ADDRESSES: u32 = 1 << 16;
 
-/// One address, nobody else's in these processes or others of this program as long as it is lock.
+/// A reserved address. No other run of this program uses it until this value is dropped.
 #[derive(Debug)]
 pub struct ReservedIp {
     ip: Ipv4Addr,
@@ -20,7 +23,8 @@
 }
 
 impl ReservedIp {
-    /// Takes the first that nobody holds. An error: none is free, or this machine has one loopback address only.
+    /// Reserves the first free address. Fails if none is free or if this machine has only one loopback
+    /// address.
     pub fn take() -> io::Result<Self> {
         let mut last = io::ErrorKind::AddrInUse.into();
         for at in 0..MAX_ADDRESSES {
@@ -34,7 +38,7 @@
         Err(last)
     }
 
-    /// Any free port there.
+    /// Returns this address with port 0, to bind any free port.
     pub fn any_port(&self) -> SocketAddr {
         (self.ip, 0).into()
     }
--- a/crates/frostturn-lab/src/machines.rs
+++ b/crates/frostturn-lab/src/machines.rs
@@ -1,5 +1,5 @@
-//! Stand-in machines: cache boxes, parents and origin that speak RESP over several endpoints, each with its own
-//! failure.
+//! Stand-in machines: cache boxes, parents and the origin, which speak RESP on several endpoints. Each
+//! endpoint can fail by itself.
 
 use crate::check::Millis;
 use crate::clients::GROUPS;
@@ -17,47 +17,47 @@
 use std::thread;
 use std::time::Duration;
 
-/// How soon a stand-in notices that its endpoint fails.
+/// Interval at which a stand-in looks for a failure of its endpoint.
 const POLL_INTERVAL_MS: u64 = 10;
-/// Bytes of an answer's body.
+/// Size of an answer's body, in bytes.
 const BODY_BYTES: usize = 1200;
-/// Requests that a machine sends at once, the time that one takes, and so what a warm one can do in a second. The
-/// parent and the origin are as large as they need be.
+/// Requests that a machine sends concurrently, the time per request, and the resulting capacity of a warm
+/// machine in requests per second. The parent and the origin have ample capacity.
 pub const LANES: usize = 2;
 const SEND_MS: Millis = 2.5;
 pub const CAPACITY: f64 = LANES as f64 * 1e3 / SEND_MS;
 const UPPER_CAPACITY: f64 = 20.0 * CAPACITY;
-/// Part of it that a machine begins with, and how long it takes to warm up.
+/// Share of its capacity that a machine has after a cold start, and the time until it is warm.
 pub const COLD_FROM: f64 = 0.25;
 pub const COLD_MS: Millis = 4000.0;
-/// How long after a purge a machine still holds copies from before: the settings say that after 6 s none does.
+/// Time for which a machine still serves older copies after a purge; by the settings none does after 6 s.
 const PURGE_DELAY_MS: Millis = 5500.0;
-/// Time over which it counts its load.
+/// Time window over which a machine measures its load.
 const LOAD_WINDOW_MS: Millis = 500.0;
 
-/// How a endpoint fails.
+/// How an endpoint fails.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u8)]
 pub enum Failure {
-    /// It doesn't.
+    /// No failure.
     None,
-    /// Nobody listens any more; what was open ends as it falls idle.
+    /// Nothing listens; open connections end when they fall idle.
     Refused,
-    /// Dials never come up any more; what was open ends as it falls idle.
+    /// New connections are never established; open ones end when they fall idle.
     BlackHole,
-    /// Up, and nothing is answered, not even a greeting.
+    /// Connections are established, and nothing is answered, not even a greeting.
     NeverAnswers,
-    /// Greetings are answered; requests are read and run, and not answered.
+    /// Greetings are answered; requests are read and executed, and not answered.
     StallsAfterRead,
     /// Answers stop halfway.
     StallsHalfway,
-    /// Reset under a request that was not read.
+    /// Connections are reset before a request is read.
     ResetUnread,
-    /// Reset under a request that was read.
+    /// Connections are reset after a request is read.
     ResetRead,
-    /// The path of the Unix socket is missing.
+    /// The Unix socket's path doesn't exist.
     Missing,
-    /// Something else is there.
+    /// A regular file is at the Unix socket's path.
     WrongType,
     /// Another machine answers.
     WrongName,
@@ -78,76 +78,77 @@
 ];
 
 impl Failure {
-    /// Whether it has no listener.
+    /// Returns whether the endpoint has no listener.
     fn closed(self) -> bool {
         matches!(self, Self::Refused | Self::Missing | Self::WrongType)
     }
 }
 
-/// Where a endpoint leads.
+/// Address of an endpoint.
 #[derive(Clone, Debug)]
 pub enum EndpointAddress {
-    /// A Unix socket.
+    /// Path of a Unix socket.
     Unix(PathBuf),
-    /// TCP.
+    /// TCP address.
     Tcp(SocketAddr),
 }
 
-/// One endpoint to a machine.
+/// One endpoint of a machine.
 #[derive(Debug)]
 pub struct Endpoint {
-    /// Where it leads.
+    /// Its address.
     pub address: EndpointAddress,
     failure: AtomicU8,
-    /// A new listener takes the address of the old one.
+    /// Number of times that a new listener has replaced the old one.
     replaced: AtomicU64,
 }
 
 impl Endpoint {
-    /// How it fails now.
+    /// Returns the current failure.
     pub fn failure(&self) -> Failure {
         ALL.get(usize::from(self.failure.load(Ordering::SeqCst))).copied().unwrap_or(Failure::None)
     }
 
-    /// It fails so from now on.
+    /// Sets the failure from now on.
     pub fn fail(&self, failure: Failure) {
         self.failure.store(failure as u8, Ordering::SeqCst);
     }
 
-    /// Another socket takes its address; what is open goes on.
+    /// Replaces the listening socket; open connections continue.
     pub fn replace(&self) {
         self.replaced.fetch_add(1, Ordering::SeqCst);
     }
 }
 
-/// One machine.
+/// A stand-in machine.
 #[derive(Debug)]
 pub struct Machine {
-    /// Its number in the run.
+    /// Its index in the run.
     pub index: usize,
     /// Its name.
     pub name: String,
     /// Its endpoints.
     pub endpoints: Vec<Endpoint>,
-    /// Copies it holds, with the Unix time of each.
+    /// Cached copies, with the Unix time of each.
     cached: Mutex<HashMap<u64, f64>>,
-    /// When objects were last purged, by Unix time. Its own copies go a while later.
+    /// Unix time of the last purge of each object. Cached copies are removed `PURGE_DELAY_MS` later.
     purged: Mutex<HashMap<u64, f64>>,
-    /// Until when each of its lanes is busy.
+    /// Time until which each lane is busy.
     lanes: Mutex<[Millis; LANES]>,
-    /// When its latest requests came.
+    /// Arrival times of recent requests.
     recent_requests: Mutex<VecDeque<Millis>>,
-    /// When it last started cold, in whole milliseconds; 0: long ago.
+    /// Time of its last cold start, in whole milliseconds; 0: warm since the beginning.
     cold_started_ms: AtomicU64,
-    /// How long each of its answers waits beside the others, in milliseconds; 0: they come in turn, at once.
+    /// Delay of each answer, concurrently with others, in milliseconds; 0: answers are sent in order
+    /// without delay.
     answer_delay_ms: AtomicU64,
-    /// Its kind, as the discovery names it.
+    /// Its kind, as in the discovery service.
     pub kind: &'static str,
     world: Arc<World>,
 }
 
 impl Machine {
-    /// Starts one, over a Unix socket below `dir`, IPv6 and IPv4.
+    /// Starts a machine that listens on a Unix socket below `dir`, on IPv6 and on IPv4.
     pub fn start(
         world: &Arc<World>,
         index: usize,
@@ -186,7 +187,7 @@
         Ok(machine)
     }
 
-    /// The address that the notice discovery gives.
+    /// Returns the address that the discovery service lists.
     pub fn address(&self) -> SocketAddr {
         match self.endpoints.last().map(|endpoint| &endpoint.address) {
             Some(EndpointAddress::Tcp(address)) => *address,
@@ -194,33 +195,33 @@
         }
     }
 
-    /// An object was purged at a Unix time.
+    /// Records the purge of an object at a Unix time.
     pub fn purge(&self, object: u64, made_unix_ms: f64) {
         self.purged.lock().unwrap_or_else(|poisoned| poisoned.into_inner()).insert(object, made_unix_ms);
     }
 
-    /// Each answer waits so long from now on, beside the others.
+    /// Delays each answer by this time from now on, concurrently with others.
     pub fn set_answer_delay(&self, wait_ms: u64) {
         self.answer_delay_ms.store(wait_ms, Ordering::SeqCst);
     }
 
-    /// Writes an answer after a wait, in whatever order with others.
+    /// Writes an answer after a delay; answers may overtake each other.
     fn answer_later(&self, stream: &Socket, lock: &Arc<Mutex<()>>, answer: Vec<u8>, wait_ms: u64) {
         let (Ok(mut stream), lock) = (stream.try_clone(), lock.clone()) else { return };
         thread::spawn(move || {
             thread::sleep(Duration::from_millis(wait_ms));
             let _whole = lock.lock();
-            let _ = stream.write_all(&answer); // The router may have closed it.
+            let _ = stream.write_all(&answer); // The router may have closed the connection.
         });
     }
 
-    /// Started anew, it holds nothing and is cold.
+    /// Restarts the machine with an empty cache and reduced capacity.
     pub fn restart_cold(&self) {
         self.cold_started_ms.store(self.world.now().max(1.0) as u64, Ordering::SeqCst);
         self.cached.lock().unwrap_or_else(|poisoned| poisoned.into_inner()).clear();
     }
 
-    /// Listens on one way, as its failure lets it.
+    /// Listens on one endpoint, as its failure permits.
     fn listen(self: Arc<Self>, at: usize, first: Socket) {
         let endpoint = &self.endpoints[at];
         let (mut listener, mut is, mut replaced) = (Some(first), Failure::None, 0);
@@ -252,7 +253,7 @@
                 let backlog = if failure == Failure::BlackHole { 0 } else { 128 };
                 listener = listen(&endpoint.address, backlog).ok();
                 if failure == Failure::BlackHole {
-                    // A full queue drops what would connect: nobody says anything to it.
+                    // A full accept queue drops further connection attempts without an answer.
                     fillers.extend((0..4).filter_map(|_| fill_backlog(&endpoint.address).ok()));
                 }
             }
@@ -279,7 +280,7 @@
         }
     }
 
-    /// Serves one connection until it or its endpoint ends.
+    /// Serves one connection until it or its endpoint fails or closes.
     fn serve(&self, at: usize, stream: Socket, accepted: Millis) {
         *self.world.observations().open_connections.entry((self.index, at)).or_default() += 1;
         self.serve_one(at, stream, accepted);
@@ -301,10 +302,11 @@
         while !self.world.ended() {
             let failure = endpoint.failure();
             if (failure == Failure::WrongName) != wrong_machine {
-                return reset(&stream); // Who answers is another process now.
+                return reset(&stream); // Another machine answers from now on.
             }
             match failure {
-                // What has come is still answered: its end at rest says nothing about the endpoint.
+                // Received requests are still answered: a connection that closes while idle says nothing
+                // about the endpoint.
                 failure if (failure.closed() || failure == Failure::BlackHole) && !readable_now(&stream) => {
                     return
                 }
@@ -396,7 +398,7 @@
         }
     }
 
-    /// A request has come whole: it may run.
+    /// Records a completely received request, which may have been executed.
     #[allow(clippy::too_many_arguments)]
     fn request_arrived(
         &self,
@@ -429,7 +431,7 @@
         seen.after_reload += u64::from(taken);
     }
 
-    /// Part of its capacity that it has by now.
+    /// Returns the share of its capacity that it has at this time.
     fn capacity_share(&self, now: Millis) -> f64 {
         match self.cold_started_ms.load(Ordering::SeqCst) {
             0 => 1.0,
@@ -437,7 +439,7 @@
         }
     }
 
-    /// A request waits for a lane and is sent.
+    /// Waits for a free lane and occupies it for the time of one request.
     fn occupy_lane(&self) {
         if self.kind != "std" {
             return;
@@ -452,7 +454,7 @@
         thread::sleep(Duration::from_secs_f64((done - now) / 1e3));
     }
 
-    /// Its load report: what it does now, by what it could.
+    /// Returns its load report: the current load as a share of its capacity.
     fn load_report(&self, came: bool) -> String {
         let now = self.world.now();
         let mut recent_requests =
@@ -485,7 +487,7 @@
         if let (Some(object), Some(made)) = (object, purged.filter(|made| now >= made + PURGE_DELAY_MS)) {
             held.retain(|held, stamp| *held != object || *stamp >= made);
         }
-        // What is held and young enough is served; else it is filled, if a source is named.
+        // A cached copy that is young enough is served; otherwise it is fetched, if a source is named.
         let oldest = get("newer").and_then(|ms| ms.parse::<f64>().ok()).filter(|ms| *ms > 0.0);
         let copy = object.and_then(|object| held.get(&object).copied());
         let young = copy.filter(|stamp| oldest.is_none_or(|oldest| now - stamp <= oldest));
@@ -511,7 +513,7 @@
     }
 }
 
-/// Whether what comes on a endpoint that fails so is lost.
+/// Returns whether requests on an endpoint with this failure are lost.
 fn loses_requests(failure: Failure) -> bool {
     !matches!(failure, Failure::None)
 }
--- a/crates/frostturn-lab/src/relay.rs
+++ b/crates/frostturn-lab/src/relay.rs
@@ -1,4 +1,5 @@
-//! The links between routers: a UDP relay on every ordered pair, each of which can lose, hold back, double, reorder and cut.
+//! Links between routers: one UDP relay per ordered pair, which can lose, delay, duplicate, reorder and cut
+//! off datagrams.
 
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -11,29 +12,29 @@
 use std::thread::{self, JoinHandle};
 use std::time::{Duration, Instant};
 
-/// Longest sleep of the relays' thread.
+/// Longest sleep of the relay thread.
 const POLL_INTERVAL_MS: u64 = 20;
-/// Datagrams delayed back at once, in all; what is more is lost.
+/// Limit of delayed datagrams over all links; more are lost.
 const MAX_DELAYED: usize = 10_000;
 
-/// Datagrams that are kept, to be sent again as junk.
+/// Datagrams kept to be replayed or altered as junk.
 const MAX_RECENT: usize = 500;
 
-/// How a link behaves. Drawn for each datagram by itself, so that different delays reorder.
+/// Behaviour of a link. Delays are drawn for each datagram separately, so that they reorder datagrams.
 #[derive(Clone, Copy, Debug, Default, PartialEq, serde::Serialize, serde::Deserialize)]
 pub struct Link {
-    /// Nothing passes.
+    /// The link carries nothing.
     pub cut: bool,
-    /// Part of all datagrams that is lost.
+    /// Share of datagrams that is lost.
     pub lose: f64,
-    /// Part that comes twice.
+    /// Share of datagrams that arrives twice.
     pub double: f64,
-    /// Longest time for which one is delayed back, in ms.
+    /// Longest delay of a datagram, in ms.
     pub delay_ms: f64,
 }
 
 impl Link {
-    /// When the copies of one datagram come, in ms from now.
+    /// Draws when the copies of one datagram arrive, in ms from now.
     pub fn draw(&self, rng: &mut StdRng) -> Vec<f64> {
         if self.cut || (self.lose > 0.0 && rng.random_bool(self.lose)) {
             return Vec::new();
@@ -43,17 +44,17 @@
     }
 }
 
-/// All links, by the one that sends and the one that hears.
+/// All links, by sender and receiver.
 pub type Links = Arc<Mutex<Vec<Vec<Link>>>>;
 
-/// The relays of one fleet.
+/// Relays of one fleet.
 #[derive(Debug)]
 pub struct Relays {
     links: Links,
     listen_addresses: Arc<Mutex<Vec<SocketAddr>>>,
-    /// Where each sends what is for each other one.
+    /// Address to which each router sends datagrams for each other one.
     addresses: Vec<Vec<Option<SocketAddr>>>,
-    /// Datagrams that forwarded, and some of the recent.
+    /// Number of forwarded datagrams, and some of the most recent ones.
     pub forwarded: Arc<AtomicU64>,
     pub recent: Arc<Mutex<VecDeque<Vec<u8>>>>,
     stopping: Arc<AtomicBool>,
@@ -79,14 +80,14 @@
     }
 }
 impl Ord for DelayedDatagram {
-    /// The earliest is the greatest.
+    /// Orders the earliest delivery as the greatest, for a max-heap.
     fn cmp(&self, other: &Self) -> std::cmp::Ordering {
         (other.deliver_at, other.serial).cmp(&(self.deliver_at, self.serial))
     }
 }
 
 impl Relays {
-    /// Relays between routers that listen there.
+    /// Starts relays between routers that listen on these addresses.
     pub fn start(listen_addresses: &[SocketAddr], seed: u64) -> io::Result<Self> {
         let count = listen_addresses.len();
         let links: Links = Arc::new(Mutex::new(vec![vec![Link::default(); count]; count]));
@@ -114,17 +115,17 @@
         Ok(Self { links, listen_addresses: shared_addresses, addresses, forwarded, recent, stopping, thread })
     }
 
-    /// Where one sends what is for another.
+    /// Returns the address to which router `from` sends datagrams for router `to`.
     pub fn address(&self, from: usize, to: usize) -> Option<SocketAddr> {
         self.addresses[from][to]
     }
 
-    /// From now on that router listen_addresses there.
+    /// Changes the address on which a router listens.
     pub fn set_listen_address(&self, to: usize, listen: SocketAddr) {
         self.listen_addresses.lock().unwrap_or_else(|poisoned| poisoned.into_inner())[to] = listen;
     }
 
-    /// The links, to be changed.
+    /// Locks the links, so that they can be changed.
     pub fn links(&self) -> MutexGuard<'_, Vec<Vec<Link>>> {
         self.links.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
     }
@@ -154,7 +155,7 @@
             while delayed.peek().is_some_and(|first| first.deliver_at <= now) {
                 let Some(DelayedDatagram { link_index, bytes, .. }) = delayed.pop() else { break };
                 let (_, to, socket) = &self.sockets[link_index];
-                // One that nobody hears is lost, as on a real link.
+                // A datagram that no socket receives is lost, as on a real link.
                 let listen =
                     self.listen_addresses.lock().unwrap_or_else(|poisoned| poisoned.into_inner())[*to];
                 if socket.send_to(&bytes, listen).is_ok() {
--- a/crates/frostturn-lab/src/report.rs
+++ b/crates/frostturn-lab/src/report.rs
@@ -1,69 +1,69 @@
-//! What a run prints: words for people, one JSON object for machines.
+//! Output of a run: text for people and one JSON object for programs.
 
 use crate::check::Rules;
 use serde::Serialize;
 
-/// A figure that must not pass its limit.
+/// A measured value and its limit.
 #[derive(Clone, Debug, Serialize)]
 pub struct Bound {
     /// Its name, with the unit.
     pub name: &'static str,
-    /// What was measured.
+    /// The measured value.
     pub value: f64,
-    /// What is allowed.
+    /// The limit.
     pub limit: f64,
-    /// Whether it is kept.
+    /// Whether the value is within the limit.
     pub kept: bool,
 }
 
 impl Bound {
-    /// One that holds up to its limit.
+    /// Creates a bound with an upper limit.
     pub fn most(name: &'static str, value: f64, limit: f64) -> Self {
         Self { name, value: (value * 1e4).round() / 1e4, limit, kept: value <= limit }
     }
 
-    /// One that holds from its limit on.
+    /// Creates a bound with a lower limit.
     pub fn least(name: &'static str, value: f64, limit: f64) -> Self {
         Self { name, value: (value * 1e4).round() / 1e4, limit, kept: value >= limit }
     }
 }
 
-/// A run's outcome.
+/// The result of a run.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Report {
-    /// Which scenario.
+    /// Name of the scenario.
     pub scenario: &'static str,
-    /// Which seed.
+    /// Seed of the run.
     pub seed: u64,
-    /// Requests, and how they ended.
+    /// Number of requests by their result.
     pub requests: u64,
     pub served: u64,
     pub refused: u64,
     pub failed: u64,
-    /// Worth answered within its aim, over the worth asked for.
+    /// Worth of the requests answered within their aim, divided by the worth of all requests.
     pub worth: f64,
-    /// Latency of what was served, in milliseconds.
+    /// Latency of served requests, in milliseconds.
     pub p50_ms: f64,
     pub p99_ms: f64,
-    /// The daemon's CPU for a request, in microseconds, and its most memory, in MB.
+    /// The daemon's CPU time per request, in microseconds, and its peak memory, in MB.
     pub cpu_us: f64,
     pub memory_mb: f64,
-    /// Rules broken.
+    /// Rule violations.
     pub rules: Rules,
-    /// Figures and their limits.
+    /// Measured values and their limits.
     pub bounds: Vec<Bound>,
-    /// Some broken rules in words.
+    /// Descriptions of some violations.
     #[serde(skip)]
     pub examples: Vec<String>,
 }
 
 impl Report {
-    /// Whether all is as it should be.
+    /// Returns whether no rule was violated and each bound is kept.
     pub fn good(&self) -> bool {
         self.rules.kept() && self.bounds.iter().all(|bound| bound.kept)
     }
 
-    /// Prints it.
+    /// Prints the report, and as JSON on the last line if `json` is set.
     pub fn print(&self, json: bool) {
         let Self { scenario, seed, requests, served, refused, failed, .. } = self;
         println!("{scenario}, seed {seed}: {requests} requests, {served} served, {refused} refused, {failed} failed");
--- a/crates/frostturn-lab/src/site.rs
+++ b/crates/frostturn-lab/src/site.rs
@@ -1,4 +1,5 @@
-//! A small site: boxes with several endpoints each, a parent and the origin, the discovery, and the operator's file.
+//! A small site: boxes with several endpoints each, a parent, the origin, the discovery service and the
+//! operator's file.
 
 use crate::check::{Budget, Millis, Verdict};
 use crate::clients::Load;
@@ -15,7 +16,7 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Arc;
 
-/// How a machine stands on the discovery.
+/// Status of a machine in the discovery service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Status {
     Active,
@@ -23,18 +24,18 @@
     Left,
 }
 
-/// How a site and its daemons are set up.
+/// Options of a site and its daemons.
 #[derive(Clone, Debug, Default)]
 pub struct Setup {
-    /// The router is announcement of each box's first endpoint alone.
+    /// The router's operator's file lists only the first endpoint of each box.
     pub first_only: bool,
-    /// Keep the daemons' files here, and have each event of each request logged.
+    /// Folder in which the daemons' files are kept, with each event of each request logged.
     pub logs: Option<PathBuf>,
-    /// What fails under the daemons.
+    /// Faults injected into the daemons.
     pub shims: Shims,
 }
 
-/// A site that runs.
+/// A running site.
 #[derive(Debug)]
 pub struct Site {
     pub world: Arc<World>,
@@ -42,14 +43,14 @@
     /// Cache boxes, then the parent and the origin.
     pub boxes: Vec<Arc<Machine>>,
     pub dir: PathBuf,
-    /// Further variables of the daemons' environment.
+    /// Additional environment variables of the daemons.
     pub environment: Vec<(String, String)>,
     operator: PathBuf,
     first_only: bool,
     keeps: bool,
 }
 
-/// One machine as the discovery lists it.
+/// Returns the entry of a machine in the discovery service.
 pub fn entry(name: &str, address: std::net::SocketAddr, kind: &str, status: Status, since_ms: f64) -> Value {
     let status = match status {
         Status::Active => "active",
@@ -101,7 +102,7 @@
         Ok(site)
     }
 
-    /// Writes the operator's file, without the endpoints that are taken away.
+    /// Writes the operator's file without the removed endpoints.
     pub fn write_operator(&self, without: &BTreeSet<(usize, usize)>) -> Result<(), String> {
         let order = if self.first_only { "unix" } else { "unix ipv6 ipv4" };
         let mut text =
@@ -126,7 +127,7 @@
         self.write_text(&text)
     }
 
-    /// Writes the operator's file as it is given.
+    /// Writes this text as the operator's file.
     pub fn write_text(&self, text: &str) -> Result<(), String> {
         std::fs::write(&self.operator, text).map_err(|e| format!("the operator's file: {e}"))
     }
@@ -151,7 +152,7 @@
         })
     }
 
-    /// Has the discovery tell how a box stands; `cold_for` from a start now.
+    /// Announces the status of a box; `cold` gives the duration and budget of a cold start that begins now.
     pub fn announce_status(&self, index: usize, status: Status, cold: Option<(Millis, Budget)>) {
         let one = &self.boxes[index];
         let since = if cold.is_some() { unix_ms() } else { 0.0 };
@@ -169,7 +170,7 @@
         self.announce_entry(entry(&one.name, one.address(), "std", status, since.floor()), announcement);
     }
 
-    /// Has the discovery tell one entry.
+    /// Announces one entry.
     pub fn announce_entry(&self, entry: Value, announcement: Option<Announcement>) {
         self.discovery.publish(
             json!({ "pool": { "index": 1, "snapshot": false, "endpoints": [entry] } }),
@@ -177,16 +178,16 @@
         );
     }
 
-    /// Has the discovery tell of a purge, now.
+    /// Purges an object now and announces the purge.
     pub fn purge(&self, object: u64) {
         let made = unix_ms().floor();
-        // They hold what is from before for a while: until then the router must ask for younger copies.
+        // Machines serve older copies for a while; until then the router must ask for younger ones.
         self.boxes.iter().for_each(|one| one.purge(object, made));
         let event = json!({ "flush": { "asset": format!("{object:016x}"), "ms": made } });
         self.discovery.publish(event, Some(Announcement::Purged(object, made)));
     }
 
-    /// Ends all and puts the figures together.
+    /// Shuts down the daemon and the stand-ins, and makes the report.
     pub fn finish(
         self,
         scenario: &'static str,
@@ -203,7 +204,7 @@
             std::mem::take(&mut seen.checker).finish();
         let ended = if !well || log.contains("panic") {
             let last: Vec<&str> = log.lines().rev().take(5).collect();
-            Err(format!("the daemon did not end well: {}", last.join(" | ")))
+            Err(format!("the daemon did not shut down cleanly: {}", last.join(" | ")))
         } else {
             Ok(())
         };
