--- a/tests/watch.rs
+++ b/tests/watch.rs
@@ -275,7 +275,7 @@
 #[test]
 fn requests_are_served_while_discovery_is_down_at_the_start_and_events_are_applied_once_it_is_back() {
     // An IP address of its own: no other process gets the port while the service is down.
-    let own = rig::loopback::OwnIp::take().expect("an address");
+    let own = rig::loopback::ReservedIp::take().expect("an address");
     let (discovery, endpoint) = (DiscoveryServer::at(&own.any().to_string()), Endpoint::new());
     let address = discovery.address.clone();
     drop(discovery);
