--- a/src/runtime/board.rs
+++ b/src/runtime/board.rs
@@ -1,5 +1,5 @@
-//! The socket to the discovery service, which carries one long poll after the other. [`crate::discovery`] builds
-//! the polls and parses the responses.
+//! The socket to the discovery service, which carries one long poll after the other. [`crate::discovery`]
+//! builds the polls and parses the responses.
 
 use super::socket::{dial, IoStatus};
 use super::{Runtime, Source};
--- a/src/runtime/clients.rs
+++ b/src/runtime/clients.rs
@@ -24,14 +24,14 @@
 
 /// Converts an event of a client connection to an input of the reducer.
 pub(super) fn client_input(conn: u64, event: front::ClientEvent) -> Input {
-    let client = |serial| RequestKey { conn, serial };
+    let key = |serial| RequestKey { conn, serial };
     match event {
-        front::ClientEvent::Request(serial, ask, age_ms) => {
-            Input::RequestReceived { key: client(serial), request: ask, age_ms }
+        front::ClientEvent::Request(serial, request, age_ms) => {
+            Input::RequestReceived { key: key(serial), request, age_ms }
         }
-        front::ClientEvent::HealthCheck(serial) => Input::Health { key: client(serial) },
-        front::ClientEvent::Aborted(serial) => Input::Aborted { key: client(serial) },
-        front::ClientEvent::RequestTruncated(serial) => Input::RequestTruncated { key: client(serial) },
+        front::ClientEvent::HealthCheck(serial) => Input::Health { key: key(serial) },
+        front::ClientEvent::Aborted(serial) => Input::Aborted { key: key(serial) },
+        front::ClientEvent::RequestTruncated(serial) => Input::RequestTruncated { key: key(serial) },
     }
 }
 
--- a/src/runtime/drains.rs
+++ b/src/runtime/drains.rs
@@ -23,7 +23,7 @@
 const DRAIN_LOG_INTERVAL_MS: Millis = 1000.0;
 
 impl Runtime {
-    /// Closes the connections that the current intake state no longer keeps.
+    /// Closes the connections that the current admission state no longer keeps.
     pub(super) fn drain_clients(&mut self) {
         let now = self.now();
         if self.reducer.service().admission(now) == Admission::Open {
@@ -54,9 +54,9 @@
             };
         }
         let before = conn.buffered_bytes();
-        let cut_short = conn.reject_incomplete();
+        let truncated = conn.reject_incomplete();
         self.incoming_bytes = self.incoming_bytes + conn.buffered_bytes() - before;
-        self.inbox.extend(cut_short.into_iter().map(|event| client_input(key, event)));
+        self.inbox.extend(truncated.into_iter().map(|event| client_input(key, event)));
         self.inbox.push(Input::ConnectionClosing { conn: key });
         self.process_inputs();
         if let Some(reason) = self.write_client(key) {
@@ -69,14 +69,15 @@
         }
     }
 
-    /// Returns when the next settled connection may be closed, once its client has read what was written.
+    /// Returns when the next fully answered connection may be closed, once its client has read what was
+    /// written.
     pub(super) fn next_drain_check(&self) -> Option<Millis> {
         let now = self.now();
         if self.reducer.service().admission(now) == Admission::Open {
             return None;
         }
-        let settled = self.clients.values().filter(|(_, conn)| conn.all_answers_sent());
-        settled.map(|(_, conn)| conn.client_read_by()).filter(|at| *at > now).reduce(f64::min)
+        let answered = self.clients.values().filter(|(_, conn)| conn.all_answers_sent());
+        answered.map(|(_, conn)| conn.client_read_by()).filter(|at| *at > now).reduce(f64::min)
     }
 
     /// Stops accepting connections. Accepts those in the listen queue, and reads what has been received by
--- a/src/runtime/events.rs
+++ b/src/runtime/events.rs
@@ -16,17 +16,17 @@
         return;
     }
     match input {
-        Input::RequestReceived { key: client, request: ask, age_ms } => {
-            let (connection, serial) = (client.conn, client.serial);
-            let request = ask.as_ref().map_or("-", |ask| ask.id.as_str());
-            let why = ask.as_ref().err().copied().unwrap_or("");
-            trace_event!(now, "request_read", request, client = connection, serial, age_ms, why);
+        Input::RequestReceived { key, request, age_ms } => {
+            let (connection, serial) = (key.conn, key.serial);
+            let id = request.as_ref().map_or("-", |request| request.id.as_str());
+            let why = request.as_ref().err().copied().unwrap_or("");
+            trace_event!(now, "request_read", request = id, client = connection, serial, age_ms, why);
         }
-        Input::Aborted { key: client } => {
-            trace_event!(now, "request_aborted", client = client.conn, serial = client.serial);
+        Input::Aborted { key } => {
+            trace_event!(now, "request_aborted", client = key.conn, serial = key.serial);
         }
-        Input::RequestTruncated { key: client } => {
-            trace_event!(now, "request_cut_short", client = client.conn, serial = client.serial);
+        Input::RequestTruncated { key } => {
+            trace_event!(now, "request_cut_short", client = key.conn, serial = key.serial);
         }
         Input::ConnectionClosing { conn } => trace_event!(now, "client_closing", client = conn),
         Input::Ended { attempt, end } => {
@@ -64,12 +64,13 @@
         return;
     }
     match effect {
-        Effect::Answer { key: client, reply } => {
-            let (client, serial, (answer, reason)) = (client.conn, client.serial, answer_fields(reply));
+        Effect::Answer { key, reply } => {
+            let (client, serial, (answer, reason)) = (key.conn, key.serial, answer_fields(reply));
             trace_event!(now, "request_answered", client, serial, answer, reason);
         }
-        Effect::Send { attempt, machine: member, request: call } => {
-            let (request, endpoint, cause) = (call.request.id.as_str(), member.as_str(), call.cause.key());
+        Effect::Send { attempt, machine, request: outgoing } => {
+            let (request, endpoint, cause) =
+                (outgoing.request.id.as_str(), machine.as_str(), outgoing.cause.key());
             trace_event!(now, "attempt_queued", attempt, request, endpoint, cause);
         }
         Effect::Stop { attempt } => trace_event!(now, "attempt_stopped", attempt),
--- a/src/runtime/handover.rs
+++ b/src/runtime/handover.rs
@@ -232,10 +232,10 @@
     }
 
     /// Saves an operator's change for all processes, and passes the result to the reducer.
-    pub(super) fn change_state(&mut self, caller: u64, name: &str, out: bool) {
+    pub(super) fn change_state(&mut self, caller: u64, name: &str, excluded: bool) {
         let ends = self.reducer.is_terminating();
         let Some(handover) = &mut self.handover else { return };
-        let result = match handover.store.call(Now::read(), ends, name, out) {
+        let result = match handover.store.call(Now::read(), ends, name, excluded) {
             Ok(()) => Ok(handover.store.state().excluded().clone()),
             Err(Unchanged::TooMany(_)) => Err(Verdict::TooMany),
             Err(Unchanged::Unknowing) => {
--- a/src/runtime/machines.rs
+++ b/src/runtime/machines.rs
@@ -1,7 +1,7 @@
 //! Sockets to machines: dialling, reading and writing. [`back`] assigns attempts to connections, and
 //! [`crate::addresses`] chooses the endpoints.
 
-use super::socket::{dial, dial_end, IoStatus};
+use super::socket::{classify_dial_error, dial, IoStatus};
 use super::{Runtime, Source};
 use crate::addresses::{DialKey, Endpoint, EndpointFailure};
 use crate::api::{CacheId, LoadReport, Outcome};
@@ -17,18 +17,18 @@
 
 impl Runtime {
     /// Reports a probe that could not be sent, or whose connection was lost.
-    pub(super) fn probe_failed(&mut self, member: crate::api::CacheId) {
+    pub(super) fn probe_failed(&mut self, machine: crate::api::CacheId) {
         let (outcome, report) = (Outcome::ConnectFailed, LoadReport::default());
-        self.inbox.push(Input::Probed { machine: member, outcome, report });
+        self.inbox.push(Input::Probed { machine, outcome, report });
     }
 
     /// Queues an attempt for sending.
-    pub(super) fn send_attempt(&mut self, attempt: AttemptKey, member: &CacheId, call: &OutgoingRequest) {
-        match self.links.send(self.now(), attempt, member, call) {
+    pub(super) fn send_attempt(&mut self, attempt: AttemptKey, machine: &CacheId, request: &OutgoingRequest) {
+        match self.connections.send(self.now(), attempt, machine, request) {
             Ok((key, _)) => self.schedule_write(key),
             Err(SendError::NoRoom) => self.inbox.push(Input::Ended { attempt, end: AttemptEnd::NoRoom }),
             Err(SendError::NoAddress) => {
-                log_line!({ machine = %member, attempt } "no usable address for {member}");
+                log_line!({ machine = %machine, attempt } "no usable address for {machine}");
                 self.inbox.push(Input::Ended { attempt, end: AttemptEnd::Lost(Progress::NotConnected) });
             }
         }
@@ -43,7 +43,7 @@
     /// Starts and closes dials as the connection races require, until nothing is due.
     pub(super) fn run_dials(&mut self) {
         loop {
-            let actions = self.links.poll_dials(self.now());
+            let actions = self.connections.poll_dials(self.now());
             if actions.is_empty() {
                 return;
             }
@@ -83,14 +83,14 @@
     fn dial_failed(&mut self, key: ConnectionKey, number: DialKey, endpoint: &Endpoint, error: &io::Error) {
         self.close_dial(number);
         self.reducer.counters.dials_failed += 1;
-        let machine = self.links.machine(key).map(CacheId::to_string).unwrap_or_default();
-        let end = dial_end(endpoint, error);
+        let machine = self.connections.machine(key).map(CacheId::to_string).unwrap_or_default();
+        let end = classify_dial_error(endpoint, error);
         let why = match end {
             DialError::Failed(failure) => failure.to_string(),
             DialError::Unreachable | DialError::NoRoom => error.to_string(),
         };
         log_line!({ machine, address = %endpoint, outcome = why } "no connection to {endpoint}: {why}");
-        if let Some(left) = self.links.dial_failed(self.now(), key, number, end) {
+        if let Some(left) = self.connections.dial_failed(self.now(), key, number, end) {
             log_avoided_endpoint(&left);
         }
     }
@@ -116,13 +116,13 @@
             Err(_) => return self.defer_for_shortage(Source::Dial(number)),
         }
         let now = self.now();
-        let Some(actions) = self.links.dial_connected(now, key, number) else {
+        let Some(actions) = self.connections.dial_connected(now, key, number) else {
             return self.close_dial(number);
         };
         if let Some((.., dialled)) = self.dials.remove(&number) {
             self.close_socket(&dialled);
             let socket = self.register_socket(dialled.stream, Source::Link(key), true);
-            self.link_sockets.insert(key, socket);
+            self.connection_sockets.insert(key, socket);
             self.runnable.insert(Source::Link(key));
         }
         self.apply_dial_actions(actions);
@@ -131,36 +131,36 @@
 
     /// Runs connection timers: continues races, leaves endpoints that do not respond, and closes expired
     /// connections.
-    pub(super) fn run_link_timers(&mut self) {
+    pub(super) fn run_connection_timers(&mut self) {
         let now = self.now();
-        let (left, moved) = self.links.check_unresponsive(now);
+        let (left, moved) = self.connections.check_unresponsive(now);
         left.iter().for_each(log_avoided_endpoint);
         moved.into_iter().for_each(|key| self.schedule_write(key));
         self.run_dials();
-        for (key, why) in self.links.expired(now) {
-            self.close_link(key, why);
+        for (key, why) in self.connections.expired(now) {
+            self.close_connection(key, why);
         }
     }
 
     /// Reads from and writes to a machine, and closes the connection if it has failed.
-    pub(super) fn serve_link(&mut self, key: ConnectionKey) {
-        if !self.link_sockets.contains_key(&key) {
+    pub(super) fn serve_connection(&mut self, key: ConnectionKey) {
+        if !self.connection_sockets.contains_key(&key) {
             return;
         }
         // Reading first detects a close by the peer before anything is written to the connection.
-        if let Some(why) = self.read_link(key).or_else(|| self.write_link(key)) {
-            self.close_link(key, why);
+        if let Some(why) = self.read_connection(key).or_else(|| self.write_connection(key)) {
+            self.close_connection(key, why);
         }
     }
 
     /// Reads from a machine. Returns the reason to close the connection, if there is one.
-    pub(super) fn read_link(&mut self, key: ConnectionKey) -> Option<EndpointClose> {
+    pub(super) fn read_connection(&mut self, key: ConnectionKey) -> Option<EndpointClose> {
         let mut read = 0;
         loop {
             let now = self.now();
-            let socket = self.link_sockets.get_mut(&key)?;
+            let socket = self.connection_sockets.get_mut(&key)?;
             // The peer may have closed an idle connection without the event loop having reported it yet.
-            let may_have_closed = read == 0 && self.links.nothing_in_flight(key);
+            let may_have_closed = read == 0 && self.connections.nothing_in_flight(key);
             if !socket.readable && !may_have_closed {
                 return None;
             }
@@ -179,15 +179,15 @@
                 }
             };
             read += bytes;
-            let (events, fault) = self.links.receive(now, key, &self.buffer[..bytes]);
+            let (events, fault) = self.connections.receive(now, key, &self.buffer[..bytes]);
             for event in events {
                 let counters = &mut self.reducer.counters;
                 self.inbox.push(match event {
                     back::EndpointEvent::Answer(attempt, answer) => {
                         Input::Ended { attempt, end: AttemptEnd::Answer(answer) }
                     }
-                    back::EndpointEvent::Probe(member, outcome, report) => {
-                        Input::Probed { machine: member, outcome, report }
+                    back::EndpointEvent::Probe(machine, outcome, report) => {
+                        Input::Probed { machine, outcome, report }
                     }
                     back::EndpointEvent::Greeted => continue,
                     back::EndpointEvent::Late => {
@@ -213,22 +213,22 @@
     }
 
     /// Writes queued attempts to a machine. Returns the reason to close the connection, if there is one.
-    pub(super) fn write_link(&mut self, key: ConnectionKey) -> Option<EndpointClose> {
+    pub(super) fn write_connection(&mut self, key: ConnectionKey) -> Option<EndpointClose> {
         loop {
-            if !self.link_sockets.get(&key)?.writable {
+            if !self.connection_sockets.get(&key)?.writable {
                 return None;
             }
-            if let Some(attempt) = self.links.next_unstarted(key) {
+            if let Some(attempt) = self.connections.next_unstarted(key) {
                 if !self.admit_attempt(key, attempt) {
                     continue;
                 }
             }
             let now = self.now();
-            let socket = self.link_sockets.get_mut(&key)?;
-            let bytes = self.links.output(key)?;
+            let socket = self.connection_sockets.get_mut(&key)?;
+            let bytes = self.connections.output(key)?;
             match socket.write(bytes) {
                 Ok(bytes) => {
-                    if let Some((attempt, progress)) = self.links.wrote(now, key, bytes) {
+                    if let Some((attempt, progress)) = self.connections.wrote(now, key, bytes) {
                         self.inbox.push(Input::Progressed { attempt, progress });
                     }
                 }
@@ -247,7 +247,7 @@
     fn admit_attempt(&mut self, key: ConnectionKey, attempt: AttemptKey) -> bool {
         match self.reducer.permit(self.now(), attempt) {
             Ok(permit) => {
-                self.links.set_time_limit(key, permit.limit_ms);
+                self.connections.set_time_limit(key, permit.limit_ms);
                 true
             }
             Err(reason) => {
@@ -258,7 +258,7 @@
                         format_args!("attempt {attempt}: {reason}"),
                     );
                 }
-                self.links.withhold(self.now(), key);
+                self.connections.withhold(self.now(), key);
                 self.inbox.push(Input::Ended { attempt, end: AttemptEnd::Withheld(reason) });
                 false
             }
@@ -266,9 +266,9 @@
     }
 
     /// Closes a connection to a machine, and reports the end of its attempts and probes.
-    pub(super) fn close_link(&mut self, key: ConnectionKey, why: EndpointClose) {
+    pub(super) fn close_connection(&mut self, key: ConnectionKey, why: EndpointClose) {
         let now = self.now();
-        if let Some(socket) = self.link_sockets.remove(&key) {
+        if let Some(socket) = self.connection_sockets.remove(&key) {
             match why {
                 // The peer is healthy and may be sending already; closing at once would reset the connection.
                 EndpointClose::Idle => self.linger(Source::Link(key), socket),
@@ -286,10 +286,10 @@
             }
         }
         self.reducer.counters.reasons.endpoint_closes.add(why);
-        let machine = self.links.machine(key).map(CacheId::to_string).unwrap_or_default();
-        let endpoint = self.links.endpoint(key).cloned();
+        let machine = self.connections.machine(key).map(CacheId::to_string).unwrap_or_default();
+        let endpoint = self.connections.endpoint(key).cloned();
         for (_, endpoint) in
-            self.links.dials(key).into_iter().filter(|_| why == EndpointClose::ConnectTimeout)
+            self.connections.dials(key).into_iter().filter(|_| why == EndpointClose::ConnectTimeout)
         {
             self.reducer.counters.dials_failed += 1;
             log_line!({ machine, address = %endpoint, outcome = %why } "no connection to {endpoint}: {why}");
@@ -309,8 +309,8 @@
             | EndpointClose::Panic => None,
         };
         // Closing an idle connection is normal and not a failure of the endpoint.
-        let idle_close = self.links.nothing_in_flight(key) && why == EndpointClose::PeerClosed;
-        let ended = self.links.connection_closed(now, key, failure.filter(|_| !idle_close));
+        let idle_close = self.connections.nothing_in_flight(key) && why == EndpointClose::PeerClosed;
+        let ended = self.connections.connection_closed(now, key, failure.filter(|_| !idle_close));
         let (reason, lost) = (why.key(), ended.lost.len());
         trace_event!(now, "endpoint_closed", link = key, endpoint = machine, reason, lost);
         ended.dials.iter().for_each(|number| self.close_dial(*number));
@@ -325,13 +325,13 @@
                 if why == EndpointClose::NoRoom { AttemptEnd::NoRoom } else { AttemptEnd::Lost(progress) };
             self.inbox.push(Input::Ended { attempt, end });
         }
-        ended.probes.into_iter().for_each(|member| self.probe_failed(member));
+        ended.probes.into_iter().for_each(|machine| self.probe_failed(machine));
         ended.moved.into_iter().for_each(|to| self.schedule_write(to));
     }
 }
 
 fn log_avoided_endpoint(avoided: &EndpointPause) {
-    let EndpointPause { machine: member, endpoint, why, pause_ms } = avoided;
-    log_line!({ machine = %member, address = %endpoint, outcome = %why }
-        "not using {endpoint} for {member} for {pause_ms:.0} ms: {why}");
+    let EndpointPause { machine, endpoint, why, pause_ms } = avoided;
+    log_line!({ machine = %machine, address = %endpoint, outcome = %why }
+        "not using {endpoint} for {machine} for {pause_ms:.0} ms: {why}");
 }
--- a/src/runtime/mod.rs
+++ b/src/runtime/mod.rs
@@ -92,11 +92,12 @@
             Input::Progressed { .. } => return self.0.push_front(input),
             Input::ConnectionClosed { conn } => {
                 self.0.retain(|other| {
-                    !matches!(other, Input::RequestReceived { key: client, .. } | Input::Health { key: client } if client.conn == conn)
+                    !matches!(other, Input::RequestReceived { key, .. } | Input::Health { key } if key.conn == conn)
                 });
             }
             Input::Aborted { key: aborted } => {
-                let same = |other: &Input| matches!(other, Input::RequestReceived { key: client, .. } if *client == aborted);
+                let same =
+                    |other: &Input| matches!(other, Input::RequestReceived { key, .. } if *key == aborted);
                 if let Some(at) = self.0.iter().position(same) {
                     self.0.remove(at);
                     return;
@@ -142,8 +143,8 @@
     lingering: BTreeMap<Source, lingering::Lingering>,
     /// Limit of open descriptors.
     max_sockets: usize,
-    links: ConnectionPool,
-    link_sockets: BTreeMap<ConnectionKey, PolledSocket>,
+    connections: ConnectionPool,
+    connection_sockets: BTreeMap<ConnectionKey, PolledSocket>,
     /// Dials in progress, with the connection they are for and their endpoint.
     dials: BTreeMap<DialKey, (ConnectionKey, Endpoint, PolledSocket)>,
     /// Bytes of incomplete requests.
@@ -226,7 +227,7 @@
         .transpose()?;
     let net = &config.net;
     let max_links = reducer.max_endpoint_connections();
-    let links = ConnectionPool::with_address_settings(
+    let connections = ConnectionPool::with_address_settings(
         net.dial_timeout_ms,
         net.idle_ms,
         net.streams_per_connection,
@@ -249,8 +250,8 @@
         last_client: 0,
         lingering: BTreeMap::new(),
         max_sockets: config.net.max_descriptors,
-        links,
-        link_sockets: BTreeMap::new(),
+        connections,
+        connection_sockets: BTreeMap::new(),
         dials: BTreeMap::new(),
         incoming_bytes: 0,
         max_incoming_bytes: (config.net.memory_bytes as f64 * INCOMING_MEMORY_SHARE) as usize,
@@ -282,8 +283,8 @@
     state.sync_state();
     state.process_inputs();
     state.log_operator_listeners();
-    for remark in &config.warnings {
-        log_line!(always; "settings: {remark}");
+    for warning in &config.warnings {
+        log_line!(always; "settings: {warning}");
     }
     log_line!(
         "{} listens on {}, discovery service at {}",
@@ -368,11 +369,11 @@
         let discovery = Some(self.discovery_watch.next_poll_at);
         let fleet =
             self.fleet_member.as_ref().and_then(fleet::Member::ms_until_due).map(|wait| self.now() + wait);
-        let (links, lingering) = (self.links.next_deadline(), self.next_linger_deadline());
+        let (connections, lingering) = (self.connections.next_deadline(), self.next_linger_deadline());
         let handover = self.handover.as_ref().map(|handover| self.now() + handover.ms_until_due());
-        let intake = self.reducer.service().next_admission_change(self.now());
+        let admission = self.reducer.service().next_admission_change(self.now());
         let others = [
-            intake,
+            admission,
             self.next_drain_check(),
             handover,
             self.resume_accept_at,
@@ -380,8 +381,9 @@
             self.shortage_retry_at,
             self.retry_reload_at,
         ];
-        let deadlines =
-            [self.reducer.next_deadline(), links, discovery, fleet, lingering].into_iter().chain(others);
+        let deadlines = [self.reducer.next_deadline(), connections, discovery, fleet, lingering]
+            .into_iter()
+            .chain(others);
         deadlines.flatten().fold(f64::INFINITY, f64::min)
     }
 
@@ -390,7 +392,7 @@
         for signal in std::mem::take(&mut self.signals) {
             match signal {
                 Signal::SIGUSR1 => {
-                    let (clients, links) = (self.clients.len(), self.links.count());
+                    let (clients, links) = (self.clients.len(), self.connections.count());
                     let (requests, machines) = (self.reducer.open_requests(), self.reducer.known_machines());
                     log_line!(always;
                         "now clients={clients} links={links} requests={requests} machines={machines}");
@@ -429,7 +431,7 @@
             self.serve(source);
         }
         self.run_fleet_timers();
-        self.run_link_timers();
+        self.run_connection_timers();
         self.expire_lingering(now);
         if self.next_sweep_at <= now {
             self.next_sweep_at = now + SWEEP_INTERVAL_MS;
@@ -459,7 +461,7 @@
             _ if self.lingering.contains_key(&source) => {
                 self.lingering.get_mut(&source).map(|lingering| &mut lingering.socket)
             }
-            Source::Link(key) => self.link_sockets.get_mut(&key),
+            Source::Link(key) => self.connection_sockets.get_mut(&key),
             Source::Dial(key) => self.dials.get_mut(&key).map(|(.., socket)| socket),
             Source::Front(key) => self.clients.get_mut(&key).map(|(socket, _)| socket),
             Source::Board => self.discovery.as_mut().map(|(socket, _)| socket),
@@ -515,7 +517,7 @@
     fn serve(&mut self, source: Source) {
         let served = catch_unwind(AssertUnwindSafe(|| match source {
             lingering if self.serve_lingering(lingering) => {}
-            Source::Link(key) => self.serve_link(key),
+            Source::Link(key) => self.serve_connection(key),
             Source::Dial(key) => self.serve_dial(key),
             Source::Front(key) => self.serve_client(key),
             Source::Board => self.serve_discovery(),
@@ -528,7 +530,7 @@
             self.reducer.counters.panics += 1;
             log_line!("a panic ends {source:?}");
             match source {
-                Source::Link(key) => self.close_link(key, EndpointClose::Panic),
+                Source::Link(key) => self.close_connection(key, EndpointClose::Panic),
                 Source::Dial(key) => self.close_dial(key),
                 Source::Front(key) => self.flush_and_close_client(key, ClientClose::Panic),
                 Source::Board => self.discovery_failed("panic"),
@@ -546,8 +548,8 @@
         }
     }
 
-    /// Passes one input to the reducer and executes its effects. A panic of the reducer is counted and loses only
-    /// the effects of this input.
+    /// Passes one input to the reducer and executes its effects. A panic of the reducer is counted and loses
+    /// only the effects of this input.
     fn handle_input(&mut self, input: Input) {
         let now = self.now();
         events::input(now, &input);
@@ -566,41 +568,39 @@
     fn execute(&mut self, now: Millis, effect: Effect) {
         events::effect(now, &effect);
         match effect {
-            Effect::Answer { key: client, reply } => {
-                if let Some((_, conn)) = self.clients.get_mut(&client.conn) {
-                    let queued = conn.answer(client.serial, &reply);
-                    self.runnable.insert(Source::Front(client.conn));
+            Effect::Answer { key, reply } => {
+                if let Some((_, conn)) = self.clients.get_mut(&key.conn) {
+                    let queued = conn.answer(key.serial, &reply);
+                    self.runnable.insert(Source::Front(key.conn));
                     // The client aborted the request in the same cycle: the answer is not sent, so its memory
                     // counts as flushed.
                     let discarded = if queued { None } else { Some(reply) };
                     if let Some(Reply::Served(body)) = discarded {
-                        self.inbox.push(Input::Flushed { conn: client.conn, bytes: body.len() });
+                        self.inbox.push(Input::Flushed { conn: key.conn, bytes: body.len() });
                     }
                 }
             }
-            Effect::Send { attempt, machine: member, request: call } => {
-                self.send_attempt(attempt, &member, &call)
-            }
+            Effect::Send { attempt, machine, request } => self.send_attempt(attempt, &machine, &request),
             Effect::Stop { attempt } => {
-                if let Some(key) = self.links.stop(now, attempt) {
+                if let Some(key) = self.connections.stop(now, attempt) {
                     self.runnable.insert(Source::Link(key));
                 }
             }
-            Effect::Probe { machine: member } => match self.links.probe(now, &member) {
+            Effect::Probe { machine } => match self.connections.probe(now, &machine) {
                 Ok((key, _)) => self.schedule_write(key),
-                Err(_) => self.probe_failed(member),
+                Err(_) => self.probe_failed(machine),
             },
-            Effect::SetListing { machine: member, listing: Some(listing) } => {
-                self.links.update_listing(&member, listing)
+            Effect::SetListing { machine, listing: Some(listing) } => {
+                self.connections.update_listing(&machine, listing)
             }
-            Effect::SetListing { machine: member, listing: None } => self.links.forget_machine(&member),
-            Effect::Retire { machine: member } => self.links.retire(&member),
-            Effect::MachineRestarted { machine: member, at } => {
-                for key in self.links.dialed_before(&member, at) {
-                    self.close_link(key, EndpointClose::Restarted);
+            Effect::SetListing { machine, listing: None } => self.connections.forget_machine(&machine),
+            Effect::Retire { machine } => self.connections.retire(&machine),
+            Effect::MachineRestarted { machine, at } => {
+                for key in self.connections.dialed_before(&machine, at) {
+                    self.close_connection(key, EndpointClose::Restarted);
                 }
             }
-            Effect::SaveExclusion { caller, name, excluded: out } => self.change_state(caller, &name, out),
+            Effect::SaveExclusion { caller, name, excluded } => self.change_state(caller, &name, excluded),
             Effect::AnswerOperator { caller, verdict } => {
                 self.answer_caller(caller, ops::answer(Ok(verdict)))
             }
@@ -639,8 +639,8 @@
         self.max_incoming_bytes = (config.net.memory_bytes as f64 * INCOMING_MEMORY_SHARE) as usize;
         self.max_sockets = config.net.max_descriptors;
         self.reducer.set_net(config.net);
-        self.links.set_max_connections(self.reducer.max_endpoint_connections());
-        self.links.set_address_settings(operator.addresses);
+        self.connections.set_max_connections(self.reducer.max_endpoint_connections());
+        self.connections.set_address_settings(operator.addresses);
         self.view_record_path = operator.record;
         self.load_plugins(operator.plugins);
         if operator.fleet.as_ref() != self.fleet_member.as_ref().map(fleet::Member::settings) {
--- a/src/runtime/socket.rs
+++ b/src/runtime/socket.rs
@@ -98,7 +98,7 @@
 }
 
 /// Classifies the error of a dial, whether connect failed at once or later.
-pub(super) fn dial_end(endpoint: &Endpoint, error: &io::Error) -> DialError {
+pub(super) fn classify_dial_error(endpoint: &Endpoint, error: &io::Error) -> DialError {
     match (errno::classify(error), endpoint) {
         (ErrorClass::Shortage | ErrorClass::Interrupted, _) => DialError::NoRoom,
         // EAGAIN from connect means a full listen queue on a Unix socket, and a lack of local ports on TCP.
