--- a/src/policy.rs
+++ b/src/policy.rs
@@ -1,23 +1,29 @@
 //! The decisions of a router. The types of its interface are in `src/api.rs`.
 //!
-//! Each piece of an object has a home among the edge caches. A least-squares line over the recent request
-//! rate of a piece opens a spread mode, in which its requests go to ready peers as well, until the rate falls
-//! below its normal average. All other rules handle cases in which that route is blocked; `docs/design.md`
-//! lists them. Equal events give equal actions.
+//! Each piece of an object has a home among the edge caches. A piece's spread mode opens when its request
+//! rate, as the mean or by a least-squares forecast, reaches the mean rate of all requests per edge cache.
+//! Its requests then go to the next peers in its hash order as well, until its mean rate falls below its
+//! normal rate, or below half of that threshold while no normal rate is known. All other rules handle cases
+//! in which the home, a peer or the source of a fill can't serve well; `docs/design.md` lists them. Equal
+//! events give equal actions.
 
 use crate::api::*;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, HashMap};
 use twox_hash::XxHash64;
 
-const FORECAST_S: usize = 3; // How far the forecast looks ahead: the paper's tau. A peer fills in about that.
-const WINDOW_S: usize = 2 * FORECAST_S; // The window of the forecast: two tau, as in the paper.
+/// How far the forecast looks ahead (its tau): about the time in which a peer gets its copy of a piece.
+const FORECAST_S: usize = 3;
+const WINDOW_S: usize = 2 * FORECAST_S; // The window that the forecast is fitted to: two tau.
 const SPREAD_PEERS: usize = 2; // Peers that a piece spreads to: the next two in its hash order.
 const NORMAL_RATE_GAIN: f64 = 0.1; // Weight of a new second in a piece's normal rate.
-/// How long a piece without requests is remembered. While the table is full, new pieces are not counted.
-const OBJECT_IDLE_S: i64 = 30;
-const MAX_OBJECTS: usize = 25_000;
-const NODE_RETENTION_MS: Millis = 60_000.0; // When a removed machine's place in the table may be reused.
+/// A piece without requests for longer than this is forgotten. Such pieces are looked for at this interval
+/// too, so a piece is remembered for one to two intervals.
+const PIECE_IDLE_S: i64 = 30;
+/// Maximum number of pieces in the table, and of purges stored one by one. At the maximum, requests for new
+/// pieces are not counted, and the stored purges are replaced by the time of the latest.
+const MAX_TABLE_ENTRIES: usize = 25_000;
+const MACHINE_RETENTION_MS: Millis = 60_000.0; // When a removed machine's place in the table may be reused.
 
 /// The step of the forecast.
 const SECOND_MS: Millis = 1000.0;
@@ -32,33 +38,44 @@
 const MEASUREMENT_TTL_MS: Millis = 10_000.0; // How long a measurement counts.
 const SMOOTHING_GAIN: f64 = 0.2; // Weight of a new measurement in smoothed values.
 const TIMEOUT_MULTIPLE: f64 = 1.5; // An attempt gets at least this multiple of its expected time.
-const SILENT_GAPS: f64 = 6.0; // Usual gaps between answers that make a silence: by chance 1 in 400.
+/// A machine is silent after this many of its usual gaps between answers without one. Between answers at
+/// random times, one gap in 400 is that long.
+const SILENT_GAPS: f64 = 6.0;
 const INITIAL_GAP_MS: Millis = 2000.0; // Long, as a needless cancellation costs more than late detection.
 const INITIAL_MISS_SHARES: [f64; 2] = [0.9, 0.2]; // Fills needed, of first-seen and of seen pieces.
-const FULL_LINK_SLOWDOWN: f64 = 1.5; // A link is full when the mean fill takes this multiple of its time.
-/// The share of failed fills above which a stale copy is better than the wait for a fill.
+/// A link is full when a mean fill takes this multiple of its time at full rate.
+const FULL_LINK_SLOWDOWN: f64 = 1.5;
+/// The share of failed fills above which fills are failing: a stale copy is better than the wait for a fill.
 const FILLS_FAILING_SHARE: f64 = 0.3;
 const FILLS_IMPAIRED_SHARE: f64 = 0.08; // Share of failed fills above which needless fills are avoided.
 /// The share of the time that the latency target leaves for the origin, above which some fills are withheld.
 const ORIGIN_SLOW_SHARE: f64 = 0.6;
-const SLOW_LINK_MULTIPLE: f64 = 4.0; // Slower than the best of its role by this, a machine is not just busy.
-const CONGESTED_MULTIPLE: f64 = 1.3; // Transfers over those that fit at full rate that mean congestion.
+/// A machine whose slowdown is over this multiple of the least in its role has an impaired link: load alone
+/// does not explain it.
+const SLOW_LINK_MULTIPLE: f64 = 4.0;
+/// A link is congested above this slowdown, or above this ratio of its transfers to those that fit at full
+/// rate.
+const CONGESTED_MULTIPLE: f64 = 1.3;
 /// The margin for transfers that coincide by chance, in square roots of the router's share of a link.
 const CHANCE_MARGIN_ROOTS: f64 = 2.0;
-/// Transfers beyond the router's share of its link before a home is passed over; doubled while fills fail.
-const HOME_MARGIN: f64 = 2.0;
+/// Transfers that are added to this router's share of a cache's link before CONGESTED_MULTIPLE is applied;
+/// above the product, requests pass the cache over. Doubled while more than FILLS_IMPAIRED_SHARE of the
+/// fills fail.
+const PASS_OVER_MARGIN: f64 = 2.0;
 const BUSY_CPU_SHARE: f64 = 0.95; // CPU utilisation above which coinciding transfers are not by chance.
 const PEAK_LOAD_DECAY: f64 = 0.99; // Factor per second for remembered loads: machines may come back cold.
 const COLD_BUDGET_SHARE: f64 = 0.6; // Share of the cold-start budget in use: chance peaks need the rest.
 const PURGE_SLACK_MS: Millis = 2.0; // How much younger than a purge a copy must be: clocks and rounding.
-const HEDGE_BUDGET: [f64; 2] = [0.02, 10.0]; // Hedges per request, and the most saved up: more adds load.
+/// Hedges that each request adds to the budget, and the most that the budget holds: more hedges would
+/// add load.
+const HEDGE_BUDGET: [f64; 2] = [0.02, 10.0];
 const TRANSFER_GAIN: f64 = 0.02; // Weight of one request in its class's mean transfer time.
 
 /// What a cache stores one copy of: a piece of an object. With one home for all its pieces an object could
 /// fill that cache's link.
 type Piece = (ObjectId, u64);
 /// A machine's index in the table.
-type NodeIndex = usize;
+type MachineIndex = usize;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Role {
@@ -84,7 +101,7 @@
 
 /// What the router knows of one machine.
 #[derive(Debug)]
-struct Node {
+struct Machine {
     entry: ListEntry,
     role: Role,
     hash: u64,
@@ -92,6 +109,7 @@
     listed: bool,
     removed_at: Option<Millis>,
     started_at: Option<Millis>,
+    /// Attempts in flight that the machine serves, as their cache or as the source of a fill.
     inflight: usize,
     /// While the machine is cold: the transfer time that it may still be sent (negative: a debt), and as of
     /// when.
@@ -127,8 +145,8 @@
 /// The state of a piece whose requests are spread.
 #[derive(Debug, Default)]
 struct SpreadMode {
-    ready: Vec<NodeIndex>,
-    on_trial: Vec<NodeIndex>,
+    ready: Vec<MachineIndex>,
+    on_trial: Vec<MachineIndex>,
     turn: usize,
 }
 
@@ -138,25 +156,27 @@
     window: [u32; WINDOW_S],
     current: u32,
     second: i64,
-    age: usize,
+    /// The seconds counted so far.
+    seconds_counted: usize,
     /// The mean rate of the seconds that left the window while no spread mode was open, so that the rise that
     /// opens the mode is not part of it.
     normal_rate: Option<f64>,
 }
 
 impl ArrivalCounts {
-    /// Moves the window on to a second.
-    fn advance(&mut self, second: i64, spread: bool) {
+    /// Moves the window on to a second. The counts that leave it go into the normal rate, unless that is
+    /// frozen.
+    fn advance(&mut self, second: i64, freeze_normal_rate: bool) {
         let steps = second.saturating_sub(self.second).max(0);
         for _ in 0..steps.min(2 * WINDOW_S as i64) {
-            if self.age >= WINDOW_S && !spread {
+            if self.seconds_counted >= WINDOW_S && !freeze_normal_rate {
                 let (leaving, old) =
                     (f64::from(self.window[0]), self.normal_rate.unwrap_or(self.window[0].into()));
                 self.normal_rate = Some(old + NORMAL_RATE_GAIN * (leaving - old));
             }
             self.window.rotate_left(1);
             self.window[WINDOW_S - 1] = std::mem::take(&mut self.current);
-            self.age += 1;
+            self.seconds_counted += 1;
         }
         self.second = self.second.max(second);
     }
@@ -179,7 +199,7 @@
 
 /// What is known of one piece.
 #[derive(Debug)]
-struct ObjectState {
+struct PieceState {
     counts: ArrivalCounts,
     spread: Option<SpreadMode>,
     /// Its transfer time, measured by an answer.
@@ -188,15 +208,15 @@
 
 #[derive(Clone, Copy, Debug)]
 struct Attempt {
-    cache: NodeIndex,
-    source: NodeIndex,
+    cache: MachineIndex,
+    source: MachineIndex,
     sent_at: Millis,
     /// The time after which its machines are checked for silence.
     check_after_ms: Millis,
     expected_fills: f64,
     outcome: Option<Outcome>,
     /// The machine that its failure counts against.
-    blamed: Option<NodeIndex>,
+    blamed: Option<MachineIndex>,
 }
 
 #[derive(Debug)]
@@ -220,11 +240,11 @@
     started_at: Millis,
     zone_index: Option<usize>,
     ticking: bool,
-    nodes: Vec<Node>,
-    node_by_id: HashMap<CacheId, NodeIndex>,
+    machines: Vec<Machine>,
+    machine_by_id: HashMap<CacheId, MachineIndex>,
     /// The listed machines of each role.
-    listed_by_role: [Vec<NodeIndex>; 4],
-    objects: HashMap<Piece, ObjectState>,
+    listed_by_role: [Vec<MachineIndex>; 4],
+    pieces: HashMap<Piece, PieceState>,
     spread_pieces: Vec<Piece>,
     arrivals: ArrivalCounts,
     requests: BTreeMap<RequestId, PendingRequest>,
@@ -273,7 +293,10 @@
 
     /// Returns the number of listed machines that are ejected or on trial after their failures.
     pub fn ejected_count(&self) -> usize {
-        self.nodes.iter().filter(|node| node.listed && node.health.ejected_until.is_some()).count()
+        self.machines
+            .iter()
+            .filter(|machine| machine.listed && machine.health.ejected_until.is_some())
+            .count()
     }
 
     /// Handles one event and appends the actions to carry out, in order. Unknown ids are ignored; a request
@@ -304,7 +327,7 @@
                 // The purge of an object may arrive without its group, so the group is not part of the key.
                 let group = if object.is_some() { 0 } else { group };
                 self.purges.entry((group, object)).and_modify(|at| *at = at.max(made)).or_insert(made);
-                if self.purges.len() > MAX_OBJECTS {
+                if self.purges.len() > MAX_TABLE_ENTRIES {
                     let made = self.purges.drain().map(|(_, made)| made);
                     self.all_purged_at = made.chain(self.all_purged_at).reduce(f64::max);
                 }
@@ -315,40 +338,41 @@
     /// Applies a list of caches. A machine with a later start than before loses its history and starts cold.
     fn update_list(&mut self, now: Millis, mode: ListMode, entries: Vec<ListEntry>) {
         if mode != ListMode::Changes {
-            self.nodes.iter_mut().for_each(|node| node.listed = false);
+            self.machines.iter_mut().for_each(|machine| machine.listed = false);
         }
         for entry in entries {
-            let index = self.find_or_add_node(now, &entry);
-            let node = &mut self.nodes[index];
-            node.listed = entry.phase == Phase::Serving;
-            node.entry.weight = entry.weight;
-            if entry.online_since > node.started_at {
-                (node.started_at, node.health) = (entry.online_since, Health::default());
-                node.measured = Measured::default();
+            let index = self.find_or_add_machine(now, &entry);
+            let machine = &mut self.machines[index];
+            machine.listed = entry.phase == Phase::Serving;
+            machine.entry.weight = entry.weight;
+            if entry.online_since > machine.started_at {
+                (machine.started_at, machine.health) = (entry.online_since, Health::default());
+                machine.measured = Measured::default();
                 self.start_cold(now, index);
             }
         }
-        self.nodes
-            .iter_mut()
-            .for_each(|node| node.removed_at = node.removed_at.or(Some(now)).filter(|_| !node.listed));
+        self.machines.iter_mut().for_each(|machine| {
+            machine.removed_at = machine.removed_at.or(Some(now)).filter(|_| !machine.listed)
+        });
         self.listed_by_role = [Role::Edge, Role::Parent, Role::Origin, Role::RemoteEdge].map(|role| {
-            let fits = |index: &NodeIndex| self.nodes[*index].listed && self.nodes[*index].role == role;
-            (0..self.nodes.len()).filter(fits).collect()
+            let fits =
+                |index: &MachineIndex| self.machines[*index].listed && self.machines[*index].role == role;
+            (0..self.machines.len()).filter(fits).collect()
         });
     }
 
-    fn find_or_add_node(&mut self, now: Millis, entry: &ListEntry) -> NodeIndex {
-        if let Some(index) = self.node_by_id.get(&entry.cache) {
+    fn find_or_add_machine(&mut self, now: Millis, entry: &ListEntry) -> MachineIndex {
+        if let Some(index) = self.machine_by_id.get(&entry.cache) {
             return *index;
         }
         // Machines are replaced under new names all the time; the table must not grow with them.
-        let free = |node: &Node| {
-            node.inflight == 0
-                && node.removed_at.is_some_and(|removed_at| now - removed_at > NODE_RETENTION_MS)
+        let free = |machine: &Machine| {
+            machine.inflight == 0
+                && machine.removed_at.is_some_and(|removed_at| now - removed_at > MACHINE_RETENTION_MS)
         };
-        let index = self.nodes.iter().position(free).unwrap_or(self.nodes.len());
-        self.nodes.get(index).and_then(|old| self.node_by_id.remove(&old.entry.cache));
-        self.node_by_id.insert(entry.cache.clone(), index);
+        let index = self.machines.iter().position(free).unwrap_or(self.machines.len());
+        self.machines.get(index).and_then(|old| self.machine_by_id.remove(&old.entry.cache));
+        self.machine_by_id.insert(entry.cache.clone(), index);
         let settings = &self.settings;
         let role = match Some(&entry.kind) {
             kind if kind == settings.parent_kind.as_ref() => Role::Parent,
@@ -358,7 +382,7 @@
         };
         let zone_index = settings.zones.iter().position(|zone| *zone == entry.zone);
         let hub = |zone: Option<usize>| zone.and_then(|at| settings.zone_hubs.get(at)).copied();
-        let node = Node {
+        let machine = Machine {
             entry: entry.clone(),
             role,
             hash: XxHash64::oneshot(0, entry.cache.as_str().as_bytes()),
@@ -371,35 +395,36 @@
             health: Health::default(),
             measured: Measured::default(),
         };
-        drop(self.nodes.splice(index..self.nodes.len().min(index + 1), [node])); // Replaces or appends.
+        // Replaces the free entry or appends one.
+        drop(self.machines.splice(index..self.machines.len().min(index + 1), [machine]));
         self.remove_from_ready(index);
         index
     }
 
     /// Starts the cold-start budget of a machine. The initial debt differs from router to router, so that
     /// they don't send their first requests together.
-    fn start_cold(&mut self, now: Millis, index: NodeIndex) {
-        let most = self.max_transfer_ms();
+    fn start_cold(&mut self, now: Millis, index: MachineIndex) {
+        let most = self.max_class_transfer_ms();
         let phase =
-            XxHash64::oneshot(self.seed, &self.nodes[index].hash.to_le_bytes()) as f64 / u64::MAX as f64;
-        self.nodes[index].cold_budget = (-phase * most, now);
+            XxHash64::oneshot(self.seed, &self.machines[index].hash.to_le_bytes()) as f64 / u64::MAX as f64;
+        self.machines[index].cold_budget = (-phase * most, now);
         self.remove_from_ready(index);
     }
 
-    fn remove_from_ready(&mut self, index: NodeIndex) {
-        for spread in self.objects.values_mut().filter_map(|object| object.spread.as_mut()) {
+    fn remove_from_ready(&mut self, index: MachineIndex) {
+        for spread in self.pieces.values_mut().filter_map(|state| state.spread.as_mut()) {
             spread.ready.retain(|peer| *peer != index);
         }
     }
 
-    fn listed(&self, role: Role) -> impl Iterator<Item = NodeIndex> + '_ {
+    fn listed(&self, role: Role) -> impl Iterator<Item = MachineIndex> + '_ {
         self.listed_by_role[role as usize].iter().copied()
     }
 
     /// Returns the rate that opens a spread mode: the mean rate of all requests per edge cache.
     fn spread_threshold(&self) -> Option<f64> {
         let edges = self.listed(Role::Edge).count();
-        (self.arrivals.age >= WINDOW_S && edges > 0)
+        (self.arrivals.seconds_counted >= WINDOW_S && edges > 0)
             .then(|| self.arrivals.mean_rate() / edges as f64)
             .filter(|threshold| *threshold > 0.0)
     }
@@ -407,8 +432,8 @@
     /// Counts an arrival. Returns whether the piece was requested before.
     fn count_arrival(&mut self, now: Millis, request: &ClientRequest, actions: &mut Vec<Action>) -> bool {
         let Some(key) = piece(request) else { return false };
-        let seen = self.objects.contains_key(&key);
-        if request.repeat || (!seen && self.objects.len() >= MAX_OBJECTS) {
+        let seen = self.pieces.contains_key(&key);
+        if request.repeat || (!seen && self.pieces.len() >= MAX_TABLE_ENTRIES) {
             return seen; // A client's own retry is not demand.
         }
         let second = ((now - self.started_at) / SECOND_MS) as i64;
@@ -416,23 +441,21 @@
         self.arrivals.current += 1;
         let threshold = self.spread_threshold();
         let counts = ArrivalCounts { second, ..ArrivalCounts::default() };
-        let object = self.objects.entry(key.clone()).or_insert(ObjectState {
-            counts,
-            spread: None,
-            transfer_ms: None,
-        });
-        object.counts.advance(second, object.spread.is_some());
-        object.counts.current += 1;
-        if object.spread.is_none() && threshold.is_some_and(|threshold| object.counts.will_reach(threshold)) {
-            object.spread = Some(SpreadMode::default());
+        let state =
+            self.pieces.entry(key.clone()).or_insert(PieceState { counts, spread: None, transfer_ms: None });
+        state.counts.advance(second, state.spread.is_some());
+        state.counts.current += 1;
+        if state.spread.is_none() && threshold.is_some_and(|threshold| state.counts.will_reach(threshold)) {
+            state.spread = Some(SpreadMode::default());
             self.spread_pieces.push(key.clone());
-            let text = format!("spread opened for {} at {:.1}/s", key.0, object.counts.mean_rate());
+            let text = format!("spread opened for {} at {:.1}/s", key.0, state.counts.mean_rate());
             actions.push(Action::Log(text));
         }
         seen
     }
 
-    /// Checks slow attempts, and once a second closes spread modes, forgets idle pieces and updates loads.
+    /// Checks slow attempts, and once a second closes spread modes, forgets old purges and updates loads.
+    /// Forgets idle pieces every PIECE_IDLE_S.
     fn tick(&mut self, now: Millis, actions: &mut Vec<Action>) {
         self.check_slow_attempts(now, actions);
         let second = ((now - self.started_at) / SECOND_MS) as i64;
@@ -442,19 +465,18 @@
         self.arrivals.advance(second, true);
         let threshold = self.spread_threshold().unwrap_or(0.0);
         for key in std::mem::take(&mut self.spread_pieces) {
-            let Some(object) = self.objects.get_mut(&key) else { continue };
-            object.counts.advance(second, true);
-            if object.counts.mean_rate() < object.counts.normal_rate.unwrap_or(threshold / 2.0) {
-                object.spread = None;
+            let Some(state) = self.pieces.get_mut(&key) else { continue };
+            state.counts.advance(second, true);
+            if state.counts.mean_rate() < state.counts.normal_rate.unwrap_or(threshold / 2.0) {
+                state.spread = None;
                 actions.push(Action::Log(format!("spread released for {}", key.0)));
             } else {
                 self.spread_pieces.push(key);
             }
         }
-        if second % OBJECT_IDLE_S == 0 {
-            self.objects.retain(|_, object| {
-                object.spread.is_some() || second - object.counts.second <= OBJECT_IDLE_S
-            });
+        if second % PIECE_IDLE_S == 0 {
+            self.pieces
+                .retain(|_, state| state.spread.is_some() || second - state.counts.second <= PIECE_IDLE_S);
         }
         self.purges.retain(|_, made| *made >= now - self.settings.guarantees.purge_gone_ms);
         for role in [Role::Edge, Role::Parent] {
@@ -499,7 +521,7 @@
     }
 
     /// Returns the longest of the classes' known mean transfer times.
-    fn max_transfer_ms(&self) -> Millis {
+    fn max_class_transfer_ms(&self) -> Millis {
         self.class_transfers.iter().filter(|(_, known)| *known).map(|(mean, _)| *mean).fold(0.0, f64::max)
     }
 
@@ -510,8 +532,8 @@
         let hit = result.cache_status.is_none_or(|status| status == CacheStatus::Hit);
         let timed = Some((result.elapsed_ms - INITIAL_TTFB_MS / 5.0).max(0.0)).filter(|_| hit);
         counted.or(timed).into_iter().for_each(|transfer_ms| self.learn_class_transfer(class, transfer_ms));
-        let object = key.and_then(|key| self.objects.get_mut(key));
-        object.into_iter().for_each(|object| object.transfer_ms = counted.or(object.transfer_ms));
+        let state = key.and_then(|key| self.pieces.get_mut(key));
+        state.into_iter().for_each(|state| state.transfer_ms = counted.or(state.transfer_ms));
     }
 
     /// Returns the transfer time of so many KB at full rate; `None`: the full rate is not known.
@@ -522,31 +544,32 @@
     /// Returns a request's transfer time at full rate: by its stated size, by its piece's last answer, or the
     /// mean of its class.
     fn transfer_ms(&self, request: &ClientRequest) -> Millis {
-        let measured = || self.objects.get(&piece(request)?)?.transfer_ms;
+        let measured = || self.pieces.get(&piece(request)?)?.transfer_ms;
         let mean = || self.class_transfers.get(request.class).map_or(0.0, |(mean, _)| *mean);
         request.size_kb.and_then(|kb| self.full_rate_ms(kb)).or_else(measured).unwrap_or_else(mean)
     }
 
-    /// Makes the next attempt of a request that has none in flight, or answers it finally.
+    /// Makes the next attempt of an unanswered request: its first, a further one or a hedge. If none can be
+    /// made and none is in flight, gives the final answer.
     fn dispatch(&mut self, now: Millis, id: &RequestId, actions: &mut Vec<Action>) {
         let Some(pending) = self.requests.get(id).filter(|pending| !pending.answered) else { return };
         let (fetch, attempt) = match self.plan(now, pending) {
             Ok(planned) => planned,
             Err(reason) => {
                 if pending.attempts.iter().all(|attempt| attempt.outcome.is_some()) {
-                    self.give_up(id, reason, actions); // Otherwise one in flight may be answered.
+                    self.give_up(id, reason, actions); // Otherwise an attempt in flight may still serve it.
                 }
                 return;
             }
         };
-        let cold = self.cold_capacity_share(now, &self.nodes[attempt.cache]).is_some();
+        let cold = self.cold_capacity_share(now, &self.machines[attempt.cache]).is_some();
         let Some(pending) = self.requests.get_mut(id) else { return };
         let Attempt { cache, source, expected_fills, .. } = attempt;
         self.open_fills += expected_fills;
         pending.attempts.push(attempt);
         let (transfer_ms, _) = self.class_transfers[pending.request.class];
         if let Some(spread) =
-            piece(&pending.request).and_then(|key| self.objects.get_mut(&key)?.spread.as_mut())
+            piece(&pending.request).and_then(|key| self.pieces.get_mut(&key)?.spread.as_mut())
         {
             spread.turn += 1;
             if !spread.ready.contains(&cache) {
@@ -555,12 +578,12 @@
         }
         for index in [Some(cache), Some(source).filter(|source| *source != cache)].into_iter().flatten() {
             let left = self.cold_budget_left(now, index).unwrap_or(0.0);
-            let node = &mut self.nodes[index];
-            node.inflight += 1;
-            node.cold_budget =
+            let machine = &mut self.machines[index];
+            machine.inflight += 1;
+            machine.cold_budget =
                 (left - if index == cache || cold { transfer_ms } else { expected_fills * transfer_ms }, now);
-            let trial = now + node.health.backoff_ms; // A single trial: the next one has to wait.
-            node.health.ejected_until = node.health.ejected_until.map(|until| until.max(trial));
+            let trial = now + machine.health.backoff_ms; // A single trial: the next one has to wait.
+            machine.health.ejected_until = machine.health.ejected_until.map(|until| until.max(trial));
         }
         actions.push(Action::Fetch(fetch));
     }
@@ -569,17 +592,17 @@
         self.requests.get_mut(id)?.attempts.get_mut(number)
     }
 
-    /// Returns which of an attempt's machines has answered nothing since it was sent, and for far longer than
-    /// usual.
-    fn silent_node(
+    /// Returns the first of an attempt's two machines that is silent: it has never answered, or last before
+    /// the attempt was sent and more than SILENT_GAPS of its usual gaps ago.
+    fn silent_machine(
         &self,
         now: Millis,
-        cache: NodeIndex,
-        source: NodeIndex,
+        cache: MachineIndex,
+        source: MachineIndex,
         sent_at: Millis,
-    ) -> Option<NodeIndex> {
+    ) -> Option<MachineIndex> {
         [cache, source].into_iter().find(|index| {
-            let Health { last_answer, answer_gap_ms, .. } = self.nodes[*index].health;
+            let Health { last_answer, answer_gap_ms, .. } = self.machines[*index].health;
             last_answer
                 .is_none_or(|answered| answered < sent_at && now - answered > SILENT_GAPS * answer_gap_ms)
         })
@@ -593,9 +616,9 @@
         for (id, pending) in self.requests.iter().filter(|(_, pending)| !pending.answered) {
             let open = |a: &Attempt| a.outcome.is_none() && a.blamed.is_none();
             let late = |a: &Attempt| open(a) && now - a.sent_at >= a.check_after_ms;
-            let silent_node =
-                |a: &Attempt| self.silent_node(now, a.cache, a.source, a.sent_at).filter(|_| late(a));
-            let silent = pending.attempts.iter().enumerate().find_map(|(n, a)| Some((n, silent_node(a)?)));
+            let silent_machine =
+                |a: &Attempt| self.silent_machine(now, a.cache, a.source, a.sent_at).filter(|_| late(a));
+            let silent = pending.attempts.iter().enumerate().find_map(|(n, a)| Some((n, silent_machine(a)?)));
             let may_hedge = || pending.attempts.iter().any(|a| open(a) && self.may_hedge(now, pending, *a));
             match silent {
                 Some((number, index)) => overdue.push((id.clone(), number, index)),
@@ -621,7 +644,7 @@
     fn plan(&self, now: Millis, pending: &PendingRequest) -> Result<(Fetch, Attempt), Refusal> {
         let request = &pending.request;
         let class = self.settings.classes.get(request.class).ok_or(Refusal::NoEndpoint)?;
-        let (left, tries) = (pending.deadline - now, pending.attempts.len());
+        let (left, attempts_made) = (pending.deadline - now, pending.attempts.len());
         let transfer_ms = self.transfer_ms(request);
         let aim = (class.aim_ms + class.aim_stretch * transfer_ms).min(class.deadline_ms);
         let aim_left = pending.arrived_at + aim - now;
@@ -633,7 +656,8 @@
         let missed = pending.attempts.iter().any(|a| a.outcome == Some(Outcome::Miss));
         let usual = if missed { 1.0 } else { self.miss_shares[usize::from(pending.seen)] };
         let expected_fills = if class.uncached || direct { 0.0 } else { usual };
-        // While fills fail, only some are tried; without new results the failure share halves every second.
+        // While fills are failing, only some are tried; without new results the share withheld halves every
+        // second.
         let failing = self.fill_failures.filter(|(share, _)| *share > FILLS_FAILING_SHARE);
         let withhold_share = failing.map_or(0.0, |(share, at)| share * 0.5_f64.powf((now - at) / SECOND_MS));
         // What a slow origin would start too late is only served from copies, which keeps its queue short.
@@ -642,9 +666,11 @@
         ttfbs.sort_by(f64::total_cmp);
         // Without details, a fill from the origin looks like one from a parent's copy, so many of the times
         // are short: the third shortest counts.
-        let rank = if self.settings.detail == Detail::All { 0 } else { 2 };
-        let queue = ttfbs.get(rank).copied().unwrap_or(0.0) / (aim - transfer_ms).max(1.0);
-        let withhold_share = withhold_share.max((queue - ORIGIN_SLOW_SHARE) / (1.0 - ORIGIN_SLOW_SHARE));
+        let ttfb_rank = if self.settings.detail == Detail::All { 0 } else { 2 };
+        // The origin's time to first byte, as a share of the time that the latency target leaves for it.
+        let origin_wait_share = ttfbs.get(ttfb_rank).copied().unwrap_or(0.0) / (aim - transfer_ms).max(1.0);
+        let withhold_share =
+            withhold_share.max((origin_wait_share - ORIGIN_SLOW_SHARE) / (1.0 - ORIGIN_SLOW_SHARE));
         let hedge = pending.attempts.iter().any(|a| a.outcome.is_none()); // The origin may be what is slow.
         let cached_only =
             expected_fills > 0.0 && (hedge || self.random_fraction(&request.id) < withhold_share);
@@ -654,19 +680,19 @@
         let picked = if direct { self.listed(Role::Origin).next() } else { picked };
         let (expected_fills, source) =
             if lookup_only { (0.0, cache) } else { (expected_fills, picked.unwrap_or(cache)) };
-        let ttfb = self.nodes[source].measured.ttfb.map_or(INITIAL_TTFB_MS, |(ms, _)| ms);
-        let (expected, slowdown) = (ttfb + transfer_ms, self.slowdown(now, cache));
+        let ttfb = self.machines[source].measured.ttfb.map_or(INITIAL_TTFB_MS, |(ms, _)| ms);
+        let (expected, slowdown) = (ttfb + transfer_ms, self.predicted_slowdown(now, cache));
         let most = request.max_attempts(self.settings.limits.max_attempts);
         // Several machines answer with an error, and none has served the piece before.
         let unknown = !pending.seen && pending.attempts.iter().filter(|a| failed_by_cache(a)).count() > 1;
-        let advised = tries == 0 && request.refuse_retry_after_ms().is_some();
+        let advised = attempts_made == 0 && request.refuse_retry_after_ms().is_some();
         // What can't be served within the latency target is worth little and slows all other requests.
         let overloaded = transfer_ms * slowdown > aim_left.max(class.aim_ms) && slowdown > CONGESTED_MULTIPLE;
         let not_cached = (lookup_only || cached_only) && missed;
-        let send_within = self.resend_window(now, pending, cache).ok_or(Refusal::RetryNotAllowed)?;
+        let send_within = self.send_window(now, pending, cache).ok_or(Refusal::RetryNotAllowed)?;
         let reasons = [
             (advised, Refusal::RefusedByPlugin),
-            (tries >= most, Refusal::AttemptsExhausted),
+            (attempts_made >= most, Refusal::AttemptsExhausted),
             (unknown, Refusal::UnknownObject),
             // No machine could serve it in time, so no link time is spent on it.
             (left <= transfer_ms, Refusal::DeadlineUnreachable),
@@ -677,20 +703,22 @@
             return Err(reason);
         }
         let attempt_timeout = (aim_left - expected).max(TIMEOUT_MULTIPLE * (ttfb + transfer_ms * slowdown));
-        let again = tries + 1 < most && left - attempt_timeout > expected;
-        let cancelling = self.settings.limits.cancelling; // Otherwise a time-out replaces the check.
+        let again = attempts_made + 1 < most && left - attempt_timeout > expected;
+        // If cancelling is off, the attempt has a time-out instead of the check for silent machines.
+        let cancelling = self.settings.limits.cancelling;
         let timeout_ms = if again && !cancelling { attempt_timeout } else { left };
-        let rank = if pending.seen { Retention::Middle } else { Retention::Low };
-        let rank = if self.spread_mode(request).is_some() { Retention::High } else { rank };
-        let retention = if class.uncached || request.object.is_none() { Retention::NoStore } else { rank };
+        let retention = if pending.seen { Retention::Middle } else { Retention::Low };
+        let retention = if self.spread_mode(request).is_some() { Retention::High } else { retention };
+        let retention =
+            if class.uncached || request.object.is_none() { Retention::NoStore } else { retention };
         let fetch = Fetch {
             id: request.id.clone(),
-            cache: self.nodes[cache].entry.cache.clone(),
+            cache: self.machines[cache].entry.cache.clone(),
             join: self.settings.joins && pending.attempts.iter().all(|a| a.cache != cache),
             background_refresh: class.fresh_ms.is_some(),
             cached_only,
             timeout_ms,
-            source: self.nodes[source].entry.cache.clone(),
+            source: self.machines[source].entry.cache.clone(),
             max_age_ms: request.max_age_ms(self.max_age_ms(now, pending, class)),
             retention: request.retention(retention),
             send_within_ms: Some(send_within).filter(|ms| ms.is_finite()),
@@ -710,8 +738,9 @@
         ))
     }
 
-    /// Returns the highest acceptable age of a copy: younger than any purge of it; stale ones are accepted on
-    /// a further attempt and while fills fail.
+    /// Returns the maximum acceptable age of a copy; `None`: any age. Copies from before a purge are
+    /// excluded. Stale copies are accepted on a further attempt, and while fills are failing
+    /// (FILLS_FAILING_SHARE).
     fn max_age_ms(&self, now: Millis, pending: &PendingRequest, class: &ClassSettings) -> Option<Millis> {
         let request = &pending.request;
         let stale =
@@ -730,7 +759,7 @@
         let link = self.zone_index.and_then(|at| self.settings.zone_links_kb_per_s.get(at)).copied();
         let rate = self.settings.flow_kb_per_s.unwrap_or(0.0) * self.routers_sharing(Role::Edge);
         let nominal = link.map(|kb| kb / rate).filter(|fits| *fits > 0.0 && fits.is_finite());
-        let size_factor = (self.max_transfer_ms() / transfer_ms.max(1.0)).sqrt().clamp(0.5, 2.0);
+        let size_factor = (self.max_class_transfer_ms() / transfer_ms.max(1.0)).sqrt().clamp(0.5, 2.0);
         nominal.or(self.fill_capacity).is_some_and(|fits| {
             self.open_fills + 1.0
                 > FULL_LINK_SLOWDOWN * size_factor * fits.max(0.1)
@@ -747,141 +776,150 @@
 
     /// Returns this router's share of a machine's link, in concurrent transfers at full rate; `None`: not
     /// known.
-    fn link_share(&self, now: Millis, index: NodeIndex) -> Option<f64> {
-        let node = &self.nodes[index];
-        let link = self.nominal_share(node).or(node.measured.link_capacity)?;
-        Some((link * self.cold_capacity_share(now, node).unwrap_or(1.0)).max(0.1))
+    fn link_share(&self, now: Millis, index: MachineIndex) -> Option<f64> {
+        let machine = &self.machines[index];
+        let link = self.nominal_share(machine).or(machine.measured.link_capacity)?;
+        Some((link * self.cold_capacity_share(now, machine).unwrap_or(1.0)).max(0.1))
     }
 
     /// Returns this router's share of a machine's link by the machine's weight; `None`: weights mean nothing.
-    fn nominal_share(&self, node: &Node) -> Option<f64> {
+    fn nominal_share(&self, machine: &Machine) -> Option<f64> {
         (self.settings.weights != Weights::Unknown)
-            .then(|| node.entry.weight / self.routers_sharing(node.role))
+            .then(|| machine.entry.weight / self.routers_sharing(machine.role))
     }
 
     /// Returns how many times slower than at full rate a cache would send with one more transfer.
-    fn slowdown(&self, now: Millis, index: NodeIndex) -> f64 {
-        let transfers = (self.nodes[index].inflight + 1) as f64;
+    fn predicted_slowdown(&self, now: Millis, index: MachineIndex) -> f64 {
+        let transfers = (self.machines[index].inflight + 1) as f64;
         let max_age = recent(self.report_interval_ms, now).unwrap_or(0.0);
         let busy =
             |(report, at): (LoadReport, Millis)| now - at <= max_age && report.util > Some(BUSY_CPU_SHARE);
-        let busy = self.nodes[index].measured.report.is_some_and(busy);
+        let busy = self.machines[index].measured.report.is_some_and(busy);
         let margin = |share: f64| if busy { 0.0 } else { CHANCE_MARGIN_ROOTS * share.max(1.0).sqrt() };
         self.link_share(now, index).map_or(1.0, |share| ((transfers - margin(share)) / share).max(1.0))
     }
 
     /// Returns whether a cache has so many transfers that requests pass it over. This is rare, since the next
     /// cache in order has to fill a copy of its own.
-    fn passed_over(&self, now: Millis, index: NodeIndex) -> bool {
-        let transfers = (self.nodes[index].inflight + 1) as f64;
+    fn passed_over(&self, now: Millis, index: MachineIndex) -> bool {
+        let transfers = (self.machines[index].inflight + 1) as f64;
         let margin = if recent(self.fill_failures, now) > Some(FILLS_IMPAIRED_SHARE) {
-            2.0 * HOME_MARGIN
+            2.0 * PASS_OVER_MARGIN
         } else {
-            HOME_MARGIN
+            PASS_OVER_MARGIN
         };
         self.link_share(now, index).is_some_and(|share| transfers > CONGESTED_MULTIPLE * (share + margin))
     }
 
     /// Returns the share of its full capacity that a cold machine has at least; `None`: it is warm.
-    fn cold_capacity_share(&self, now: Millis, node: &Node) -> Option<f64> {
+    fn cold_capacity_share(&self, now: Millis, machine: &Machine) -> Option<f64> {
         let rules = &self.settings.guarantees;
-        let (from, span) = match node.role {
+        let (from, span) = match machine.role {
             Role::Edge | Role::RemoteEdge => (rules.cold_start_share, rules.cold_start_ms),
             Role::Parent => (rules.parent_cold_start_share, rules.parent_cold_start_ms),
             Role::Origin => return None,
         };
-        let age = (now - node.started_at?).max(0.0);
+        let age = (now - machine.started_at?).max(0.0);
         (age < span).then(|| from + (1.0 - from) * age / span)
     }
 
     /// Returns the transfer time that a cold machine may still be sent; `None`: it is warm. This router's
     /// share accrues over time, is not saved up, and may be overdrawn by one request. Where the weight does
     /// not give the machine's capacity, the peak load of its role stands in for it.
-    fn cold_budget_left(&self, now: Millis, index: NodeIndex) -> Option<Millis> {
-        let (node, rules) = (&self.nodes[index], &self.settings.guarantees);
-        let share = self.cold_capacity_share(now, node)?;
-        let most =
-            if node.role == Role::Parent { rules.parent_overload_multiple } else { rules.overload_multiple };
-        let capacity = self.nominal_share(node).unwrap_or(self.peak_load[node.role as usize]);
+    fn cold_budget_left(&self, now: Millis, index: MachineIndex) -> Option<Millis> {
+        let (machine, rules) = (&self.machines[index], &self.settings.guarantees);
+        let share = self.cold_capacity_share(now, machine)?;
+        let most = if machine.role == Role::Parent {
+            rules.parent_overload_multiple
+        } else {
+            rules.overload_multiple
+        };
+        let capacity = self.nominal_share(machine).unwrap_or(self.peak_load[machine.role as usize]);
         Some(
-            (node.cold_budget.0 + COLD_BUDGET_SHARE * most * share * capacity * (now - node.cold_budget.1))
+            (machine.cold_budget.0
+                + COLD_BUDGET_SHARE * most * share * capacity * (now - machine.cold_budget.1))
                 .min(0.0),
         )
     }
 
-    fn within_cold_budget(&self, now: Millis, index: NodeIndex) -> bool {
+    fn within_cold_budget(&self, now: Millis, index: MachineIndex) -> bool {
         self.cold_budget_left(now, index).is_none_or(|left| left >= 0.0)
     }
 
     fn spread_mode(&self, request: &ClientRequest) -> Option<&SpreadMode> {
-        self.objects.get(&piece(request)?)?.spread.as_ref()
+        self.pieces.get(&piece(request)?)?.spread.as_ref()
     }
 
     /// Sorts machines by rendezvous hashing in the order of the piece, which is the same at every router.
-    fn hash_order(&self, request: &ClientRequest, mut among: Vec<NodeIndex>) -> Vec<NodeIndex> {
+    fn hash_order(&self, request: &ClientRequest, mut among: Vec<MachineIndex>) -> Vec<MachineIndex> {
         let name = request.object.as_ref().map_or(request.id.as_str(), ObjectId::as_str);
         let key = XxHash64::oneshot(request.piece, name.as_bytes()).to_le_bytes();
-        among.sort_by_cached_key(|index| Reverse(XxHash64::oneshot(self.nodes[*index].hash, &key)));
+        among.sort_by_cached_key(|index| Reverse(XxHash64::oneshot(self.machines[*index].hash, &key)));
         among
     }
 
     /// Returns whether a machine is neither ejected nor slow.
-    fn usable(&self, now: Millis, index: NodeIndex) -> bool {
-        self.nodes[index].health.ejected_until.is_none_or(|until| now >= until)
+    fn usable(&self, now: Millis, index: MachineIndex) -> bool {
+        self.machines[index].health.ejected_until.is_none_or(|until| now >= until)
             && !self.has_slow_link(now, index)
     }
 
     /// Returns whether a machine sends far slower than another of its role, so that its link must be
     /// impaired. Machines without a measurement count as sending at full rate.
-    fn has_slow_link(&self, now: Millis, index: NodeIndex) -> bool {
-        let slowdown = |index: NodeIndex| {
-            recent(self.nodes[index].measured.slowdown, now).map_or(1.0, |slowdown| slowdown.max(1.0))
+    fn has_slow_link(&self, now: Millis, index: MachineIndex) -> bool {
+        let slowdown = |index: MachineIndex| {
+            recent(self.machines[index].measured.slowdown, now).map_or(1.0, |slowdown| slowdown.max(1.0))
         };
         let best = self
-            .listed(self.nodes[index].role)
+            .listed(self.machines[index].role)
             .filter(|other| *other != index)
             .map(slowdown)
             .reduce(f64::min);
         best.is_some_and(|best| slowdown(index) > SLOW_LINK_MULTIPLE * best)
     }
 
-    /// Picks the cache for the next attempt: the home, or in a spread mode the peer whose turn it is. Caches
-    /// that failed this request, have no cold-start budget left or have too many transfers are passed over.
-    fn pick_cache(&self, now: Millis, pending: &PendingRequest) -> Option<NodeIndex> {
+    /// Picks the cache for the next attempt. The usual choice is the home: the first in hash order, after
+    /// the plug-ins' preferences. In a spread mode it is an untested peer, else the home or a ready peer in
+    /// turn. Ejected and slow caches, and those that failed this request or have an attempt of it in flight,
+    /// are only candidates if all are such. Caches without cold-start budget never are. If all candidates
+    /// have too many transfers, the one with the least predicted slowdown is picked.
+    fn pick_cache(&self, now: Millis, pending: &PendingRequest) -> Option<MachineIndex> {
         let request = &pending.request;
-        let listed: Vec<NodeIndex> = self.listed(Role::Edge).collect();
-        let usable: Vec<NodeIndex> =
+        let listed: Vec<MachineIndex> = self.listed(Role::Edge).collect();
+        let usable: Vec<MachineIndex> =
             listed.iter().copied().filter(|index| self.usable(now, *index)).collect();
         let mut order = self.hash_order(request, if usable.is_empty() { listed } else { usable });
-        order.sort_by_key(|index| Reverse(request.preference(&self.nodes[*index].entry.cache)));
+        order.sort_by_key(|index| Reverse(request.preference(&self.machines[*index].entry.cache)));
         if let Some(mode) = self.spread_mode(request) {
             let spread = &order[..order.len().min(1 + SPREAD_PEERS)];
-            let untested = |index: &&NodeIndex| !mode.ready.contains(index) && !mode.on_trial.contains(index);
+            let untested =
+                |index: &&MachineIndex| !mode.ready.contains(index) && !mode.on_trial.contains(index);
             let mut ready = spread.to_vec();
             ready.retain(|index| Some(index) == spread.first() || mode.ready.contains(index));
             let turn = ready.get(mode.turn % ready.len().max(1));
             let picked = spread.iter().skip(1).find(untested).or(turn).copied();
             order.sort_by_key(|index| Some(*index) != picked);
         }
-        let in_flight = |a: &Attempt, index: NodeIndex| a.outcome.is_none() && a.cache == index;
-        let failed = |index: &NodeIndex| {
+        let in_flight = |a: &Attempt, index: MachineIndex| a.outcome.is_none() && a.cache == index;
+        let failed = |index: &MachineIndex| {
             pending.attempts.iter().any(|a| a.blamed == Some(*index) || in_flight(a, *index))
         };
         order.sort_by_key(failed);
         let untried = order.iter().position(failed).filter(|count| *count > 0);
         order.truncate(untried.unwrap_or(order.len()));
         order.retain(|index| self.within_cold_budget(now, *index));
-        let least =
-            |a: &&NodeIndex, b: &&NodeIndex| self.slowdown(now, **a).total_cmp(&self.slowdown(now, **b));
+        let least = |a: &&MachineIndex, b: &&MachineIndex| {
+            self.predicted_slowdown(now, **a).total_cmp(&self.predicted_slowdown(now, **b))
+        };
         order.iter().find(|index| !self.passed_over(now, **index)).or(order.iter().min_by(least)).copied()
     }
 
     /// Picks the source of a fill: of the first two parents in hash order the one with the shorter recent
     /// time to first byte, or else the nearer one. If neither is usable: the piece's home in another
     /// location, once per request and only as a source; then the origin.
-    fn pick_source(&self, now: Millis, pending: &PendingRequest, direct: bool) -> Option<NodeIndex> {
+    fn pick_source(&self, now: Millis, pending: &PendingRequest, direct: bool) -> Option<MachineIndex> {
         let request = &pending.request;
-        let failed = |index: NodeIndex| pending.attempts.iter().any(|a| a.blamed == Some(index));
+        let failed = |index: MachineIndex| pending.attempts.iter().any(|a| a.blamed == Some(index));
         let origin =
             self.listed(Role::Origin).min_by_key(|index| (failed(*index), !self.usable(now, *index)));
         let uncached = self.settings.classes.get(request.class).is_some_and(|class| class.uncached);
@@ -890,19 +928,21 @@
         parents.retain(|index| {
             self.usable(now, *index) && !failed(*index) && self.within_cold_budget(now, *index)
         });
-        let recent = |index: NodeIndex| recent(self.nodes[index].measured.ttfb, now);
+        let recent = |index: MachineIndex| recent(self.machines[index].measured.ttfb, now);
         let known: Vec<f64> = parents.iter().filter_map(|index| recent(*index)).collect();
         let average = known.iter().sum::<f64>() / known.len().max(1) as f64;
         let pick = parents.into_iter().min_by(|a, b| {
-            let ttfb = |index: NodeIndex| recent(index).unwrap_or(average);
-            ttfb(*a).total_cmp(&ttfb(*b)).then(self.nodes[*a].hub_distance.cmp(&self.nodes[*b].hub_distance))
+            let ttfb = |index: MachineIndex| recent(index).unwrap_or(average);
+            ttfb(*a)
+                .total_cmp(&ttfb(*b))
+                .then(self.machines[*a].hub_distance.cmp(&self.machines[*b].hub_distance))
         });
         let pick = if uncached { origin.or(pick) } else { pick };
         // A cache of another location only serves copies that it has, so it is asked once.
-        let tried = |a: &Attempt| self.nodes[a.source].role == Role::RemoteEdge;
+        let tried = |a: &Attempt| self.machines[a.source].role == Role::RemoteEdge;
         let may = !direct && self.settings.siblings == Siblings::Any && !pending.attempts.iter().any(tried);
-        let fits = |index: &NodeIndex| {
-            may && self.usable(now, *index) && self.cold_capacity_share(now, &self.nodes[*index]).is_none()
+        let fits = |index: &MachineIndex| {
+            may && self.usable(now, *index) && self.cold_capacity_share(now, &self.machines[*index]).is_none()
         };
         let remote = || {
             self.hash_order(request, self.listed(Role::RemoteEdge).filter(fits).collect()).first().copied()
@@ -920,25 +960,28 @@
     ) -> bool {
         let waited = now - sent_at - TIMEOUT_MULTIPLE * self.transfer_ms(&pending.request);
         let repeat = self.settings.classes.get(pending.request.class).map(|class| class.repeat);
-        let Measured { ttfb, latest_answers, .. } = &self.nodes[source].measured;
-        let quick =
-            recent(*ttfb, now).is_none_or(|ms| ms < INITIAL_TTFB_MS) && self.slowdown(now, cache) <= 1.0;
+        let Measured { ttfb, latest_answers, .. } = &self.machines[source].measured;
+        let quick = recent(*ttfb, now).is_none_or(|ms| ms < INITIAL_TTFB_MS)
+            && self.predicted_slowdown(now, cache) <= 1.0;
         let later = |(at, took): &&(Millis, Millis)| *at > sent_at && *took < waited;
         let may = self.settings.limits.hedging && repeat == Some(Repeat::Retryable) && !pending.hedged;
         let unusual = latest_answers.iter().all(|(_, took)| *took < waited);
-        may && quick && unusual && self.nodes[cache].measured.latest_answers.iter().filter(later).count() > 2
+        may && quick
+            && unusual
+            && self.machines[cache].measured.latest_answers.iter().filter(later).count() > 2
     }
 
-    /// Returns the time within which a request may be sent again to this cache; `None`: it may not. No other
-    /// place decides this.
-    fn resend_window(&self, now: Millis, pending: &PendingRequest, cache: NodeIndex) -> Option<Millis> {
+    /// Returns the time within which an attempt may be sent to this cache, infinite unless an earlier
+    /// attempt limits it; `None`: it may not be sent, as an earlier one may have run or is in flight. This
+    /// is the only check of whether an attempt may repeat an earlier one or overlap it.
+    fn send_window(&self, now: Millis, pending: &PendingRequest, cache: MachineIndex) -> Option<Millis> {
         let open = pending.attempts.iter().filter(|attempt| attempt.outcome.is_none()).count();
         let class = self.settings.classes.get(pending.request.class)?;
         let left = pending.attempts.iter().filter(|a| may_have_run(a)).map(|ran| match class.repeat {
             Repeat::Retryable => f64::INFINITY,
             Repeat::Fragile => 0.0,
             Repeat::Dedup { scope, window_ms } => {
-                let (a, b) = (&self.nodes[ran.cache].entry, &self.nodes[cache].entry);
+                let (a, b) = (&self.machines[ran.cache].entry, &self.machines[cache].entry);
                 let same = match scope {
                     DedupScope::All => true,
                     DedupScope::Zone => a.zone == b.zone,
@@ -952,8 +995,8 @@
         Some(left).filter(|left| *left > 0.0 && open <= usize::from(pending.hedged))
     }
 
-    /// Answers a request finally when no further attempt can be made: it is refused where a retry is
-    /// harmless.
+    /// Gives the final answer when no further attempt can be made. The request is refused if a repeat is
+    /// harmless, as none of its attempts may have run or its class allows a repeat at any cache, else failed.
     fn give_up(&mut self, id: &RequestId, reason: Refusal, actions: &mut Vec<Action>) {
         let Some(pending) = self.requests.get(id) else { return };
         let repeat = self.settings.classes.get(pending.request.class).map(|class| class.repeat);
@@ -962,7 +1005,7 @@
         let harmless = repeatable || !pending.attempts.iter().any(may_have_run);
         if !pending.seen && pending.attempts.iter().any(failed_by_cache) {
             // The object may not exist at any machine, so it is neither counted as demand nor remembered.
-            piece(&pending.request).and_then(|key| self.objects.remove(&key));
+            piece(&pending.request).and_then(|key| self.pieces.remove(&key));
             self.arrivals.current = self.arrivals.current.saturating_sub(1);
         }
         let (id, advised) = (id.clone(), pending.request.refuse_retry_after_ms());
@@ -1001,7 +1044,7 @@
         let (seen, key, class) = (pending.seen, piece(&pending.request), pending.request.class);
         let errors = |a: &&Attempt| a.cache == cache && a.outcome == Some(Outcome::Error);
         let repeated_error = pending.attempts.iter().filter(errors).count() > 1;
-        let erring: Vec<NodeIndex> =
+        let erring: Vec<MachineIndex> =
             pending.attempts.iter().filter(|a| failed_by_cache(a)).map(|a| a.cache).collect();
         if result.outcome == Outcome::Ok && pending.request.size_kb.is_none() {
             self.learn_size(class, key.as_ref(), result);
@@ -1012,10 +1055,10 @@
         let measurable = transfer_ms >= INITIAL_TTFB_MS / 2.0;
         self.open_fills = (self.open_fills - expected_fills).max(0.0);
         for index in [Some(cache), Some(source).filter(|source| *source != cache)].into_iter().flatten() {
-            self.nodes[index].inflight = self.nodes[index].inflight.saturating_sub(1);
+            self.machines[index].inflight = self.machines[index].inflight.saturating_sub(1);
         }
         // A report with unchanged values counts as old, so that one that is stuck expires.
-        let latest = &mut self.nodes[cache].measured.report;
+        let latest = &mut self.machines[cache].measured.report;
         let reported = result.report != LoadReport::default();
         let changed = reported && latest.is_none_or(|(old, _)| old != result.report);
         if let Some((_, at)) = changed.then(|| latest.replace((result.report, now))).flatten() {
@@ -1045,26 +1088,27 @@
             *share += SMOOTHING_GAIN / 4.0 * (f64::from(u8::from(missed)) - *share);
         }
         if matches!(result.outcome, Outcome::Miss | Outcome::Full) {
-            self.nodes[cache].health.last_answer = Some(now); // Such answers come at once.
+            self.machines[cache].health.last_answer = Some(now); // Such answers come at once.
         }
         let blame = match result.outcome {
             Outcome::Ok => {
                 for index in [Some(cache), Some(source).filter(|_| filled)].into_iter().flatten() {
-                    self.nodes[index].measured.latest_answers.rotate_right(1);
-                    self.nodes[index].measured.latest_answers[0] = (sent_at, result.elapsed_ms - transfer_ms);
+                    self.machines[index].measured.latest_answers.rotate_right(1);
+                    self.machines[index].measured.latest_answers[0] =
+                        (sent_at, result.elapsed_ms - transfer_ms);
                 }
-                self.served_ms[self.nodes[cache].role as usize] += transfer_ms;
+                self.served_ms[self.machines[cache].role as usize] += transfer_ms;
                 self.record_success(now, cache, actions);
                 if result.cache_status == Some(CacheStatus::Hit) {
                     let usual = transfer_ms + INITIAL_TTFB_MS / 5.0;
-                    record(&mut self.nodes[cache].measured.slowdown, now, result.elapsed_ms / usual);
+                    record(&mut self.machines[cache].measured.slowdown, now, result.elapsed_ms / usual);
                 }
                 if filled {
                     let sending = result.elapsed_ms - result.source_ttfb_ms.unwrap_or(0.0);
-                    self.served_ms[self.nodes[source].role as usize] += transfer_ms;
+                    self.served_ms[self.machines[source].role as usize] += transfer_ms;
                     self.record_success(now, source, actions);
                     let ttfb = result.source_ttfb_ms.unwrap_or((result.elapsed_ms - transfer_ms).max(0.0));
-                    record(&mut self.nodes[source].measured.ttfb, now, ttfb);
+                    record(&mut self.machines[source].measured.ttfb, now, ttfb);
                     if result.cache_status == Some(CacheStatus::FilledFromOrigin)
                         || no_detail && result.cache_status.is_some()
                     {
@@ -1073,22 +1117,22 @@
                     }
                     if measurable && expected_fills > 0.0 && result.source_ttfb_ms.is_some() {
                         learn_capacity(&mut self.fill_capacity, transfer_ms, sending, self.open_fills + 1.0);
-                        record(&mut self.nodes[source].measured.slowdown, now, sending / transfer_ms);
+                        record(&mut self.machines[source].measured.slowdown, now, sending / transfer_ms);
                     }
                 } else if measurable {
-                    let node = &mut self.nodes[cache];
+                    let machine = &mut self.machines[cache];
                     learn_capacity(
-                        &mut node.measured.link_capacity,
+                        &mut machine.measured.link_capacity,
                         transfer_ms,
                         result.elapsed_ms,
-                        node.inflight as f64 + 1.0,
+                        machine.inflight as f64 + 1.0,
                     );
                 }
                 None
             }
             Outcome::Full | Outcome::Error if by_source => Some(source),
             Outcome::Full => Some(cache),
-            Outcome::Timeout => self.silent_node(now, cache, source, sent_at),
+            Outcome::Timeout => self.silent_machine(now, cache, source, sent_at),
             Outcome::Error | Outcome::ConnectFailed | Outcome::Reset => Some(cache),
             Outcome::Miss | Outcome::Cancelled | Outcome::Moot => None,
         };
@@ -1099,7 +1143,7 @@
             // An error may be the fault of the request until another cache serves it. All attempts on a
             // broken connection count as one failure.
             let counted =
-                result.outcome == Outcome::Reset && self.nodes[index].health.last_reset > Some(sent_at);
+                result.outcome == Outcome::Reset && self.machines[index].health.last_reset > Some(sent_at);
             if !(counted || result.outcome == Outcome::Error && index == cache) {
                 let unavailable = result.cache_status == Some(CacheStatus::SourceUnavailable);
                 self.record_failure(
@@ -1120,10 +1164,11 @@
         self.dispatch(now, &result.id, actions); // Does nothing if the request is answered.
     }
 
-    /// Updates the spread mode: a peer is ready after it has served, and no longer after a miss, even a
-    /// filled one.
-    fn update_peer(&mut self, key: Option<&Piece>, cache: NodeIndex, outcome: Outcome, missed: bool) {
-        let Some(spread) = key.and_then(|key| self.objects.get_mut(key)?.spread.as_mut()) else { return };
+    /// Updates the ready peers of a spread mode at the end of an attempt. A peer on trial becomes ready when
+    /// it has served, even if by a fill. A ready peer is removed by any outcome but Ok, and if it has served
+    /// by a fill (`missed`), as it had no copy.
+    fn update_peer(&mut self, key: Option<&Piece>, cache: MachineIndex, outcome: Outcome, missed: bool) {
+        let Some(spread) = key.and_then(|key| self.pieces.get_mut(key)?.spread.as_mut()) else { return };
         let on_trial = spread.on_trial.contains(&cache);
         spread.on_trial.retain(|index| *index != cache);
         if outcome == Outcome::Ok && on_trial && !spread.ready.contains(&cache) {
@@ -1133,9 +1178,9 @@
         }
     }
 
-    /// Records that a machine has served an attempt, which ends its ejection.
-    fn record_success(&mut self, now: Millis, index: NodeIndex, actions: &mut Vec<Action>) {
-        let health = &mut self.nodes[index].health;
+    /// Records that a machine has served an attempt, or has started to, which ends its ejection.
+    fn record_success(&mut self, now: Millis, index: MachineIndex, actions: &mut Vec<Action>) {
+        let health = &mut self.machines[index].health;
         let last = health.last_answer.replace(now);
         health.answer_gap_ms = last.map_or(INITIAL_GAP_MS, |last| {
             health.answer_gap_ms + SMOOTHING_GAIN * (now - last - health.answer_gap_ms)
@@ -1147,18 +1192,25 @@
             *health = Health { last_answer, answer_gap_ms, last_reset, ..Health::default() };
             if unreachable {
                 // It is back without a new list entry: assume a restart.
-                self.nodes[index].started_at = Some(now);
+                self.machines[index].started_at = Some(now);
                 self.start_cold(now, index);
             }
-            actions.push(Action::Log(format!("{} is back", self.nodes[index].entry.cache)));
+            actions.push(Action::Log(format!("{} is back", self.machines[index].entry.cache)));
         }
     }
 
-    /// Records a failure of a machine. A machine that is full, or whose source is, has not failed.
-    fn record_failure(&mut self, now: Millis, index: NodeIndex, outcome: Outcome, actions: &mut Vec<Action>) {
-        let Node { health, role, .. } = &mut self.nodes[index];
+    /// Records a failure of a machine. A rejection because it or its source is full is no failure, unless it
+    /// is one of many in a row from an edge cache.
+    fn record_failure(
+        &mut self,
+        now: Millis,
+        index: MachineIndex,
+        outcome: Outcome,
+        actions: &mut Vec<Action>,
+    ) {
+        let Machine { health, role, .. } = &mut self.machines[index];
         let weight = match outcome {
-            // But an edge cache that rejects everything is draining, and the list is late to show it.
+            // An edge cache that rejects everything is draining, and the list does not show it yet.
             Outcome::Full if *role != Role::Edge || health.rejections < MAX_REJECTIONS => {
                 health.rejections += 1;
                 return;
@@ -1176,7 +1228,7 @@
         health.backoff_ms = (2.0 * health.backoff_ms).clamp(EJECTION_MS, MAX_EJECTION_MS);
         health.ejected_until = Some(now + health.backoff_ms);
         if first {
-            actions.push(Action::Log(format!("{} ejected", self.nodes[index].entry.cache)));
+            actions.push(Action::Log(format!("{} ejected", self.machines[index].entry.cache)));
         }
     }
 }
