--- a/src/reducer/machines.rs
+++ b/src/reducer/machines.rs
@@ -13,7 +13,7 @@
                 let age_ms = now - self.wall_clock.to_monotonic(now, made_unix_ms);
                 self.events.push_back(Event::Purged { object: object_id, group, age_ms });
                 self.run_policy(now);
-                // Unsent attempts that carry an older age limit are withdrawn and decided anew.
+                // Unsent attempts that carry an older age limit are withheld and decided anew.
                 let purged = |request: &IncomingRequest| match &object {
                     Some(object) => request.object.as_ref() == Some(object),
                     None => request.group == group,
@@ -24,7 +24,7 @@
                     .filter(|pending| purged(&pending.request))
                     .flat_map(|pending| &pending.in_flight);
                 let concerned: Vec<AttemptKey> = concerned.copied().collect();
-                concerned.into_iter().for_each(|key| self.withdraw_unsent(now, key));
+                concerned.into_iter().for_each(|key| self.withhold_unwritten(now, key));
             }
             Some(Announcement::Pool { snapshot, machines }) => {
                 self.counters.lists += 1;
@@ -127,12 +127,12 @@
         }
         self.events.push_back(Event::List { mode, entries });
         self.run_policy(now);
-        // Queued attempts are withdrawn if their machine, or the source of their fill, is leaving.
+        // Queued attempts are withheld if their machine, or the source of their fill, is leaving.
         let serves = |name: &CacheId| self.machines.get(name).is_some_and(|m| m.phase == Phase::Serving);
         let unsent = self.attempts.iter().filter(|(_, attempt)| attempt.progress == Progress::NotConnected);
-        let withdrawn = unsent.filter(|(_, attempt)| !serves(&attempt.cache) || !serves(&attempt.source));
-        let withdrawn: Vec<AttemptKey> = withdrawn.map(|(key, _)| *key).collect();
-        withdrawn.into_iter().for_each(|key| self.withdraw_unsent(now, key));
+        let withheld = unsent.filter(|(_, attempt)| !serves(&attempt.cache) || !serves(&attempt.source));
+        let withheld: Vec<AttemptKey> = withheld.map(|(key, _)| *key).collect();
+        withheld.into_iter().for_each(|key| self.withhold_unwritten(now, key));
     }
 
     /// Returns the machines that operators have excluded.
--- a/src/reducer/mod.rs
+++ b/src/reducer/mod.rs
@@ -29,7 +29,7 @@
 
 /// Margin by which a request is answered before its client gives up. Covers the transfer and a busy CPU.
 const ANSWER_MARGIN_MS: Millis = 30.0;
-/// An attempt whose first byte has not been sent within this many dial time-outs is withdrawn and decided
+/// An attempt whose first byte has not been sent within this many dial time-outs is withheld and decided
 /// anew.
 const SEND_TIMEOUT_DIALS: f64 = 1.5;
 /// Where concurrent attempts of one request are not allowed, the next attempt is sent this long after one
@@ -79,7 +79,7 @@
     /// The time-out of an attempt.
     AttemptTimeout(AttemptKey),
     /// A delayed attempt may be sent.
-    SeparationOver(AttemptKey),
+    AttemptDelayOver(AttemptKey),
     /// The latest time to send the first byte of an attempt.
     SendDeadline(AttemptKey),
     /// The listener's grace time after SIGTERM is over.
@@ -108,9 +108,9 @@
     may_have_run: bool,
     /// Attempts that have not ended.
     in_flight: Vec<AttemptKey>,
-    /// Where concurrent attempts are not allowed: until then an attempt that was given up may still be
+    /// If hedging is off: the earliest time to send the next attempt, as one that was given up may still be
     /// running.
-    separated_until: Millis,
+    next_attempt_at: Millis,
     /// The answer deadline.
     answer_by: Millis,
 }
@@ -452,14 +452,14 @@
             Timer::AttemptTimeout(key) => {
                 self.cancel_attempt(now, key, Outcome::Timeout, Outcome::ConnectFailed, false);
             }
-            Timer::SeparationOver(key) => {
+            Timer::AttemptDelayOver(key) => {
                 if let Some(request) = self.attempts.get_mut(&key).and_then(|attempt| attempt.delayed.take())
                 {
                     let machine = request.fetch.cache.clone();
                     self.effects.push(Effect::Send { attempt: key, machine, request });
                 }
             }
-            Timer::SendDeadline(key) => self.withdraw_unsent(now, key),
+            Timer::SendDeadline(key) => self.withhold_unwritten(now, key),
             Timer::StopListening => {
                 self.effects.push(Effect::StopListening);
                 self.set_timer(now, Timer::Exit);
--- a/src/reducer/requests.rs
+++ b/src/reducer/requests.rs
@@ -5,7 +5,7 @@
 use crate::reasons::{AttemptCause, Refusal};
 
 /// Describes a request for the plug-ins. `time_left_ms` is the time until the answer deadline.
-fn about(request: &IncomingRequest, class: usize, time_left_ms: Millis) -> RequestInfo<'_> {
+fn request_info(request: &IncomingRequest, class: usize, time_left_ms: Millis) -> RequestInfo<'_> {
     RequestInfo {
         class,
         object: request.object.as_deref(),
@@ -45,10 +45,12 @@
         let checked = request.and_then(|request| {
             let class = self.classes.get(&request.class).copied().ok_or("no such class")?;
             if request.timeout_ms > MAX_TIMEOUT_RATIO * self.settings.classes[class.0].deadline_ms {
-                return Err("nobody waits so long"); // Its state would be kept far too long.
+                // No client waits that long, and the router would keep the request's state for all of it.
+                return Err("nobody waits so long");
             }
             if self.open_client_ids.contains(&request.id) {
-                return Err("its id is that of an open request"); // Each answer could reach the wrong request.
+                // Answers to two requests with one id could be mixed up.
+                return Err("its id is that of an open request");
             }
             Ok((request, class))
         });
@@ -85,9 +87,10 @@
             return self.refuse(request_key, &request.class, reason);
         }
         let advice = self.plugins.as_mut().and_then(|plugins| {
-            plugins.request(now, &about(&request, class, answer_by - now), &self.machine_stats)
+            plugins.request(now, &request_info(&request, class, answer_by - now), &self.machine_stats)
         });
-        // The decision module gets ids of its own: a client may reuse an id on another connection.
+        // The connection and serial number make the decision module's id unique: once a request is answered,
+        // a client may reuse its id, on the same or another connection.
         let id: RequestId =
             format!("{}/{}.{}", request.id, request_key.conn, request_key.serial).as_str().into();
         self.events.push_back(Event::Request(ClientRequest {
@@ -112,14 +115,14 @@
             last_outcome: None,
             may_have_run: false,
             in_flight: Vec::new(),
-            separated_until: 0.0,
+            next_attempt_at: 0.0,
             answer_by,
         };
         self.pending.insert(request_key, pending);
         self.set_timer(answer_by, Timer::AnswerDeadline(request_key));
     }
 
-    /// Refuses a request that is not accepted.
+    /// Refuses a whole request on arrival, before it becomes pending. It counts as shed, whatever the reason.
     fn refuse(&mut self, request_key: RequestKey, class: &str, reason: Refusal) {
         self.counters.shed += 1;
         self.counters.refused += 1;
@@ -129,7 +132,8 @@
         self.effects.push(Effect::Answer { key: request_key, reply });
     }
 
-    /// Refuses a partly received request, as its connection is about to be closed.
+    /// Refuses a partly received request, as its connection is about to be closed. It does not count as shed,
+    /// nor in the results by class, as its class may not have been received.
     pub(super) fn refuse_truncated(&mut self, now: Millis, request_key: RequestKey) {
         let reason = self.service.refusal(now).unwrap_or(Refusal::Draining);
         self.counters.taken += 1;
@@ -139,7 +143,7 @@
         self.effects.push(Effect::Answer { key: request_key, reply });
     }
 
-    /// Answers a request at once, as its connection is about to be closed: refuses it where a repeat is
+    /// Answers a request at once, as its connection is about to be closed: refuses it if a repeat is
     /// harmless, so that the client may try elsewhere, and fails it otherwise.
     pub(super) fn answer_before_close(&mut self, now: Millis, request_key: RequestKey) {
         let Some(pending) = self.pending.get(&request_key) else { return };
@@ -154,7 +158,8 @@
         self.answer(now, &id, reply);
     }
 
-    /// Ends a request without an answer, as its client is gone.
+    /// Ends a request without an answer, as its client no longer waits. The operators' telemetry has one
+    /// result, Aborted, for such requests and for failed ones.
     pub(super) fn abort(&mut self, now: Millis, request_key: RequestKey) {
         let Some(pending) = self.remove_pending(request_key) else { return };
         self.counters.aborted += 1;
@@ -164,7 +169,7 @@
         self.cancel_attempts(now, pending.in_flight, Outcome::Cancelled, true);
     }
 
-    /// Removes a request that is owed nothing more.
+    /// Removes a request from the pending ones, and its body and client id from their accounting.
     pub(super) fn remove_pending(&mut self, request_key: RequestKey) -> Option<PendingRequest> {
         let pending = self.pending.remove(&request_key)?;
         self.pending_body_bytes -= pending.request.body.len();
@@ -199,6 +204,7 @@
                 }
                 ops::Disposition::Aborted
             }
+            // Health checks are answered without becoming pending, so this is not reached.
             Reply::Health(_) => {
                 self.counters.failed += 1;
                 ops::Disposition::Aborted
@@ -238,7 +244,7 @@
             progress: Progress::NotConnected,
             delayed: None,
         };
-        let separated_until = pending.separated_until;
+        let next_attempt_at = pending.next_attempt_at;
         self.attempts.insert(key, attempt);
         let serves = |name: &CacheId| self.machines.get(name).is_some_and(|m| m.phase == Phase::Serving);
         if !serves(&fetch.cache) || !serves(&fetch.source) {
@@ -255,33 +261,34 @@
         if self.plugins.is_some() {
             self.machine_stats.attempt_started(&machine);
         }
-        match self.attempts.get_mut(&key).filter(|_| separated_until > now) {
+        match self.attempts.get_mut(&key).filter(|_| next_attempt_at > now) {
             Some(attempt) => {
                 attempt.delayed = Some(outgoing);
-                self.set_timer(separated_until, Timer::SeparationOver(key));
+                self.set_timer(next_attempt_at, Timer::AttemptDelayOver(key));
             }
             None => self.effects.push(Effect::Send { attempt: key, machine, request: outgoing }),
         }
     }
 
-    /// Delays the next attempt of a request, where concurrent attempts are not allowed, because an attempt
-    /// that may be running was given up from this side.
+    /// Delays the next attempt of a request if hedging is off, so that it does not overlap an attempt that
+    /// the router has given up but that may still be running at its machine.
     fn delay_next_attempt(&mut self, now: Millis, request_key: RequestKey) {
         if !self.settings.limits.hedging {
             self.pending
                 .entry(request_key)
-                .and_modify(|pending| pending.separated_until = now + ATTEMPT_SEPARATION_MS);
+                .and_modify(|pending| pending.next_attempt_at = now + ATTEMPT_SEPARATION_MS);
         }
     }
 
-    /// Gives an attempt up and reports it: as `unsent` if no byte of it has been sent, else as `sent`.
+    /// Cancels an attempt and reports its outcome: `unsent` if no byte of it has been written, else `sent`.
+    /// `request_done`: the request is finished.
     pub(super) fn cancel_attempt(
         &mut self,
         now: Millis,
         key: AttemptKey,
         sent: Outcome,
         unsent: Outcome,
-        last: bool,
+        request_done: bool,
     ) {
         let Some(attempt) = self.attempts.get(&key) else { return };
         // A partly written frame is still written to its end, because other frames follow it on the
@@ -291,23 +298,31 @@
             self.delay_next_attempt(now, attempt.request_key);
         }
         self.effects.push(Effect::Stop { attempt: key });
-        self.finish_attempt(now, key, outcome, None, last);
+        self.finish_attempt(now, key, outcome, None, request_done);
     }
 
-    /// Gives several attempts up.
-    pub(super) fn cancel_attempts(&mut self, now: Millis, keys: Vec<AttemptKey>, sent: Outcome, last: bool) {
+    /// Cancels several attempts. An attempt that times out before a byte of it is written is reported as
+    /// ConnectFailed.
+    pub(super) fn cancel_attempts(
+        &mut self,
+        now: Millis,
+        keys: Vec<AttemptKey>,
+        sent: Outcome,
+        request_done: bool,
+    ) {
         let unsent = if sent == Outcome::Timeout { Outcome::ConnectFailed } else { Outcome::Moot };
-        keys.into_iter().for_each(|key| self.cancel_attempt(now, key, sent, unsent, last));
+        keys.into_iter().for_each(|key| self.cancel_attempt(now, key, sent, unsent, request_done));
     }
 
-    /// Removes an attempt and reports its end to the decision module. `last`: the request is finished.
+    /// Removes an attempt and reports its end to the decision module. `request_done`: the request is
+    /// finished.
     pub(super) fn finish_attempt(
         &mut self,
         now: Millis,
         key: AttemptKey,
         outcome: Outcome,
         answer: Option<&Answer>,
-        last: bool,
+        request_done: bool,
     ) {
         let Some(attempt) = self.attempts.remove(&key) else { return };
         if let Some(pending) = self.pending.get_mut(&attempt.request_key) {
@@ -333,7 +348,7 @@
             cache: attempt.cache,
             outcome,
             elapsed_ms: now - attempt.started_at,
-            last,
+            last: request_done,
             cache_status: answer.and_then(|answer| answer.cache_status),
             source_ttfb_ms: answer.and_then(|answer| answer.source_ttfb_ms),
             report: answer.map(|answer| answer.report).unwrap_or_default(),
@@ -345,14 +360,19 @@
             self.machine_stats.attempt_ended(now, &result.cache, &result.report);
             if let Some(pending) = self.pending.get(&attempt.request_key) {
                 let class = self.classes.get(&pending.request.class).map_or(0, |class| class.0);
-                plugins.outcome(now, &result, &about(&pending.request, class, 0.0), &self.machine_stats);
+                plugins.outcome(
+                    now,
+                    &result,
+                    &request_info(&pending.request, class, 0.0),
+                    &self.machine_stats,
+                );
             }
         }
         self.events.push_back(Event::Result(result));
     }
 
-    /// Converts bytes of an answer to kilobytes as object sizes are given: both rates describe the same
-    /// transfer.
+    /// Converts bytes of an answer to the KB of the settings' object sizes, by the ratio of the two settings
+    /// for the highest rate of one transfer: in KB/s and in bytes per second.
     fn size_kb(&self, bytes: usize) -> Option<f64> {
         let kb_per_byte = self.settings.flow_kb_per_s? / self.network.flow_bytes_per_s?;
         Some(bytes as f64 * kb_per_byte).filter(|kb| *kb > 0.0)
@@ -367,7 +387,8 @@
                 return self.finish_attempt(now, key, Outcome::ConnectFailed, None, false);
             }
             AttemptEnd::Lost(_) => {
-                self.delay_next_attempt(now, request_key); // The connection may have ended from this side.
+                // The router itself may have closed the connection while the machine still runs the attempt.
+                self.delay_next_attempt(now, request_key);
                 return self.finish_attempt(now, key, Outcome::Reset, None, false);
             }
             AttemptEnd::NoRoom => return self.finish_attempt(now, key, Outcome::Moot, None, false),
@@ -387,9 +408,9 @@
         if served {
             let reply = if answer.unchanged {
                 Reply::Unchanged
-            } else if self.must_shed(request_key.conn, answer.body.len()) {
+            } else if self.must_drop_answer(request_key.conn, answer.body.len()) {
                 self.counters.shed += 1;
-                // The request has run: it may be called refused only where a repeat is harmless.
+                // The request has run, so it may be refused only if a repeat is harmless.
                 if fragile {
                     Reply::Failed(Failure::AnswerDropped)
                 } else {
@@ -402,15 +423,16 @@
         }
     }
 
-    /// Returns whether an answer of this size must be dropped to stay within the memory limit.
-    pub(super) fn must_shed(&self, conn: u64, bytes: usize) -> bool {
+    /// Returns whether an answer of this size must be dropped, because unsent answers to all clients would
+    /// take more than their share of the memory. The share is smaller for an answer to a slow client.
+    pub(super) fn must_drop_answer(&self, conn: u64, bytes: usize) -> bool {
         let (all, memory) = ((self.unsent_total + bytes) as f64, self.network.memory_bytes as f64);
         let slow = self.unsent_bytes.get(&conn).is_some_and(|own| *own > SLOW_CLIENT_UNSENT_BYTES);
         all > memory * if slow { SLOW_CLIENT_MEMORY_SHARE } else { ALL_CLIENTS_MEMORY_SHARE }
     }
 
-    /// Gives an attempt up if no byte of it has been sent.
-    pub(super) fn withdraw_unsent(&mut self, now: Millis, key: AttemptKey) {
+    /// Withholds an attempt if no byte of it has been written.
+    pub(super) fn withhold_unwritten(&mut self, now: Millis, key: AttemptKey) {
         if self.attempts.get(&key).is_some_and(|attempt| attempt.progress == Progress::NotConnected) {
             self.counters.attempt_pulled += 1;
             self.cancel_attempt(now, key, Outcome::Cancelled, Outcome::Moot, false);
@@ -418,7 +440,7 @@
     }
 
     /// Ends a request at its answer deadline: its attempts time out, and if the decision module then gives no
-    /// answer, the request fails.
+    /// answer, the request fails and counts as `guarded`.
     pub(super) fn answer_at_deadline(&mut self, now: Millis, request_key: RequestKey) {
         let Some(pending) = self.pending.get(&request_key) else { return };
         self.cancel_attempts(now, pending.in_flight.clone(), Outcome::Timeout, false);
@@ -429,7 +451,7 @@
         }
     }
 
-    /// Returns the requests of a client connection that are owed an answer.
+    /// Returns the pending requests of a client connection.
     pub(super) fn requests_on(&self, conn: u64) -> Vec<RequestKey> {
         let all = RequestKey { conn, serial: 0 }..=RequestKey { conn, serial: u64::MAX };
         self.pending.range(all).map(|(request_key, _)| *request_key).collect()
