--- a/src/cli.rs
+++ b/src/cli.rs
@@ -1,7 +1,7 @@
-//! The command line: what to do, and where the files are that say how.
+//! The command line: commands, options and their environment variables.
 //!
-//! Exit codes: 0, it ended as told, or every file is good; 1, it couldn't start, or a file is not good; 2, the
-//! command line itself can't be understood.
+//! Exit codes: 0, shut down on request, or every file is valid; 1, the start failed, or a file is invalid; 2,
+//! invalid command line.
 
 use crate::config::{Config, Sources};
 use crate::fleet::Fleet;
@@ -12,89 +12,91 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-/// Routes requests to cache boxes, their fills and their origin.
+/// Routes requests to cache servers, their parents and the origin.
 #[derive(Debug, Parser)]
 #[command(name = "frostturn", version, about, long_about = LONG_ABOUT, args_conflicts_with_subcommands = false)]
 pub struct Cli {
-    /// The JSON config of the platform; needed to serve
+    /// The JSON config of the platform; required to serve
     #[arg(long, env = "PROXY_CONFIG", value_name = "FILE", global = true)]
     config: Option<PathBuf>,
-    /// This router's name; goes before the config's
+    /// This router's name; overrides the config
     #[arg(long, env = "PROXY_NAME", value_name = "NAME", global = true)]
     name: Option<String>,
-    /// Where clients connect, as 127.0.0.1:7001 or [::1]:7001; goes before the config's
+    /// The address on which clients connect, as 127.0.0.1:7001 or [::1]:7001; overrides the config
     #[arg(long, env = "PROXY_LISTEN", value_name = "ADDRESS", global = true)]
     listen: Option<String>,
-    /// Where operators call, as 127.0.0.1:9600; goes before the config's; neither: nowhere. For `ctl` a socket's path, too
+    /// The address for operators' calls, as 127.0.0.1:9600; overrides the config; without either there is no
+    /// TCP listener for them. For `ctl` also a socket's path
     #[arg(long, env = "PROXY_OPS", value_name = "ADDRESS", global = true)]
     ops: Option<String>,
-    /// The operator's file (S-expressions) that switches on further subsystems; without it none is on
+    /// The operator's file (S-expressions), which enables optional subsystems
     #[arg(long, env = "FROSTTURN_OPERATOR", value_name = "FILE", global = true)]
     operator: Option<PathBuf>,
-    /// How log lines are written to standard error
+    /// The format of log lines on standard error
     #[arg(long, env = "FROSTTURN_LOG", value_enum, default_value = "text", global = true)]
     log: LogFormat,
-    /// How much is written: what operators need, or each event of each request and connection as well
+    /// The log level: events for operators only, or also each event of each request and connection
     #[arg(long, env = "FROSTTURN_LOG_LEVEL", value_enum, default_value = "info", global = true)]
     log_level: LogLevel,
     #[command(subcommand)]
     command: Option<Command>,
 }
 
-const LONG_ABOUT: &str = "Routes requests to cache boxes, their fills and their origin.\n\n\
-With no command it serves. SIGTERM lets it finish, SIGHUP has the config and the operator's file read again, \
-SIGUSR1 prints the counters.\n\n\
-Exit codes: 0, it ended as told, or every file is good; 1, it couldn't start, or a file is not good; 2, the \
-command line can't be understood.";
+const LONG_ABOUT: &str = "Routes requests to cache servers, their parents and the origin.\n\n\
+Without a command it serves. SIGTERM shuts it down gracefully, SIGHUP reloads the config and the operator's \
+file, SIGUSR1 prints the counters.\n\n\
+Exit codes: 0, shut down on request, or every file is valid; 1, the start failed, or a file is invalid; 2, \
+invalid command line.";
 
 #[derive(Debug, Subcommand)]
 enum Command {
-    /// Serve until told to end; what is done without a command, too
+    /// Serve until shut down (the default)
     Serve,
-    /// Read operator's files or JSON configs and report every fault, with line and column
+    /// Validate operator's files or JSON configs and report every fault with line and column
     Check {
         /// The files; one that begins with `{` is read as a JSON config
         #[arg(required = true, value_name = "FILE")]
         files: Vec<PathBuf>,
     },
-    /// Check, run and time plug-ins, or print a starting point for one
+    /// Check, run and measure plug-ins, or print a template
     Plugin {
         #[command(subcommand)]
         plugin: crate::cli_plugin::Plugin,
     },
-    /// Ask a running router what operators ask: over --ops, or the Unix socket of the operator's file
+    /// Call a running router at --ops or at the Unix socket of the operator's file
     ///
-    /// Exit codes: 0, yes; 1, no; 3, nobody answers; 4, it could not be done.
+    /// Exit codes: 0, accepted or yes; 1, rejected or no; 3, no answer; 4, the call failed.
     Ctl {
         #[command(subcommand)]
         ctl: crate::cli_ctl::Ctl,
     },
     /// Print a completion script for a shell
     Completions {
-        /// Which shell
+        /// The shell
         shell: clap_complete::Shell,
     },
 }
 
 #[derive(Clone, Copy, Debug, ValueEnum)]
 enum LogFormat {
-    /// `frostturn: ` and the words, for people
+    /// Plain text, each line prefixed with `frostturn: `
     Text,
-    /// One JSON object a line, for machines
+    /// One JSON object per line
     Json,
 }
 
 #[derive(Clone, Copy, Debug, ValueEnum)]
 enum LogLevel {
-    /// Few lines, limited in rate
+    /// Events for operators, limited in rate
     Info,
-    /// Nothing held back: for following one request id
+    /// All events, without a rate limit, for tracing single requests
     Debug,
 }
 
-/// Does what the process's arguments and environment say.
+/// Runs the command that the process's arguments and environment select.
 pub fn main() -> ExitCode {
-    // The platform starts it with no word at all: the parser's pages then needn't be in a small router's memory.
+    // The platform starts the router without arguments. Skipping the parser then saves the memory of its code
+    // pages.
     if std::env::args_os().len() <= 1 {
         return serve();
     }
@@ -109,23 +111,23 @@
     };
     match cli.command {
         None | Some(Command::Serve) => {
-            let given = |text: Option<String>| text.filter(|text| !text.is_empty());
-            let named = |path: Option<PathBuf>| path.filter(|path| !path.as_os_str().is_empty());
+            let non_empty = |text: Option<String>| text.filter(|text| !text.is_empty());
+            let non_empty_path = |path: Option<PathBuf>| path.filter(|path| !path.as_os_str().is_empty());
             let sources = Sources {
-                config: named(cli.config),
-                name: given(cli.name),
-                listen: given(cli.listen),
-                ops: given(cli.ops),
-                operator: named(cli.operator),
+                config: non_empty_path(cli.config),
+                name: non_empty(cli.name),
+                listen: non_empty(cli.listen),
+                ops: non_empty(cli.ops),
+                operator: non_empty_path(cli.operator),
             };
-            serve_by(format, level, sources)
+            serve_with(format, level, sources)
         }
         Some(Command::Check { files }) => check(&files, cli.name.as_deref()),
         Some(Command::Plugin { plugin }) => crate::cli_plugin::run(&plugin),
         Some(Command::Ctl { ctl }) => {
-            let place =
-                cli.ops.filter(|text| !text.is_empty()).or_else(|| socket_of(cli.operator.as_deref()));
-            crate::cli_ctl::run(place.as_deref(), &ctl)
+            let address =
+                cli.ops.filter(|text| !text.is_empty()).or_else(|| ops_socket_path(cli.operator.as_deref()));
+            crate::cli_ctl::run(address.as_deref(), &ctl)
         }
         Some(Command::Completions { shell }) => {
             clap_complete::generate(shell, &mut Cli::command(), "frostturn", &mut std::io::stdout());
@@ -134,14 +136,14 @@
     }
 }
 
-/// Serves by what the environment says alone, under the names that the options give.
+/// Serves as configured by the environment variables alone, without parsing options.
 pub fn serve() -> ExitCode {
     let var = |name| std::env::var(name).ok().filter(|value: &String| !value.is_empty());
     let format = match var("FROSTTURN_LOG").as_deref() {
         None | Some("text") => Format::Text,
         Some("json") => Format::Json,
         Some(other) => {
-            eprintln!("FROSTTURN_LOG is neither text nor json: {other}");
+            eprintln!("FROSTTURN_LOG must be text or json, not {other}");
             return ExitCode::from(2);
         }
     };
@@ -149,7 +151,7 @@
         None | Some("info") => Level::Info,
         Some("debug") => Level::Debug,
         Some(other) => {
-            eprintln!("FROSTTURN_LOG_LEVEL is neither info nor debug: {other}");
+            eprintln!("FROSTTURN_LOG_LEVEL must be info or debug, not {other}");
             return ExitCode::from(2);
         }
     };
@@ -160,10 +162,10 @@
         ops: var("PROXY_OPS"),
         operator: var("FROSTTURN_OPERATOR").map(PathBuf::from),
     };
-    serve_by(format, level, sources)
+    serve_with(format, level, sources)
 }
 
-fn serve_by(format: Format, level: Level, sources: Sources) -> ExitCode {
+fn serve_with(format: Format, level: Level, sources: Sources) -> ExitCode {
     crate::log::start(format, level);
     match crate::runtime::run(sources) {
         Ok(()) => ExitCode::SUCCESS,
@@ -174,16 +176,16 @@
     }
 }
 
-/// The Unix socket that an operator's file names.
-fn socket_of(operator: Option<&std::path::Path>) -> Option<String> {
+/// Returns the path of the Unix socket for operators' calls from the operator's file.
+fn ops_socket_path(operator: Option<&std::path::Path>) -> Option<String> {
     let operator = OperatorConfig::load(operator.filter(|path| !path.as_os_str().is_empty())?);
     let operator = operator.map_err(|why| eprintln!("{why}")).ok()?;
     operator.ops_socket.map(|path| path.display().to_string())
 }
 
-/// Reports each file's faults on standard error and each good one on standard output.
+/// Validates files: reports their faults on standard error and the valid files on standard output.
 fn check(files: &[PathBuf], name: Option<&str>) -> ExitCode {
-    let mut good = true;
+    let mut all_valid = true;
     for path in files {
         let shown = path.display();
         let faults = match operator::read_bytes(path) {
@@ -192,7 +194,7 @@
                 Config::read(bytes, None, None).err().into_iter().collect()
             }
             Ok(bytes) => match OperatorConfig::read(&bytes) {
-                // Whether it is among its own peers shows where the command line names this router.
+                // The peers can be checked against the router's own name only if the command line gives it.
                 Ok(operator) => match (name, operator.fleet) {
                     (Some(name), Some(fleet)) => {
                         Fleet::new(fleet, name, 1, 0.0, 0).err().into_iter().collect()
@@ -203,12 +205,12 @@
             },
         };
         if faults.is_empty() {
-            println!("{shown}: good");
+            println!("{shown}: valid");
         }
-        good &= faults.is_empty();
+        all_valid &= faults.is_empty();
         faults.iter().for_each(|fault| eprintln!("{fault}"));
     }
-    if good {
+    if all_valid {
         ExitCode::SUCCESS
     } else {
         ExitCode::FAILURE
--- a/src/cli_ctl.rs
+++ b/src/cli_ctl.rs
@@ -1,6 +1,7 @@
-//! `frostturn ctl`: an operator's calls from the command line.
+//! `frostturn ctl`: calls of operators from the command line.
 //!
-//! Exit codes: 0, yes; 1, no; 2, the command line can't be understood; 3, nobody answers; 4, it could not be done.
+//! Exit codes: 0, accepted or yes; 1, rejected or no; 2, invalid command line; 3, no answer; 4, the call
+//! failed.
 
 use crate::fleet::View;
 use crate::ops::control::{self, Answer, OpsAddress, MAX_ANSWER_BYTES};
@@ -12,33 +13,33 @@
 use std::process::ExitCode;
 use std::time::Duration;
 
-/// A router answers within a second; one that doesn't may hang.
-const PATIENCE: Duration = Duration::from_millis(1500);
+/// A router answers within a second unless it hangs.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// What to ask a running router for.
+/// A call to a running router.
 #[derive(Clone, Debug, Subcommand)]
 pub enum Ctl {
-    /// Whether it is ready to serve
+    /// Check whether the router is ready to serve
     Ready,
-    /// Send nothing more to a machine, whatever the board says
+    /// Send nothing more to a machine, even if discovery lists it
     Exclude {
-        /// The machine's name, as the board lists it
+        /// The machine's name as discovery lists it
         id: String,
     },
-    /// Let a machine serve again, as a cold one
+    /// Let a machine serve again, starting cold
     Include {
         /// The machine's name
         id: String,
     },
-    /// Empty the router: it goes on running, and clients go elsewhere
+    /// Move all clients to other routers; the router keeps running
     Evacuate,
-    /// Take clients again
+    /// Accept clients again
     Rejoin,
-    /// What it has done and holds, as JSON
+    /// Print the telemetry as JSON
     Status,
-    /// Who else routes here, and whether it is cut off
+    /// Print the other routers of the fleet and the quorum status
     Fleet {
-        /// One JSON object instead of a table
+        /// Print one JSON object instead of a table
         #[arg(long)]
         json: bool,
     },
@@ -58,20 +59,22 @@
     }
 }
 
-/// Calls the router at `place` and says what it answered.
-pub fn run(place: Option<&str>, ctl: &Ctl) -> ExitCode {
-    let Some(place) = place else {
-        eprintln!("where? --ops ADDRESS or PATH, PROXY_OPS, or (ops (unix …)) in the operator's file");
+/// Calls the router at `address` and prints its answer.
+pub fn run(address: Option<&str>, ctl: &Ctl) -> ExitCode {
+    let Some(address) = address else {
+        eprintln!(
+            "no router address: use --ops ADDRESS or PATH, PROXY_OPS, or (ops (unix …)) in the operator's file"
+        );
         return ExitCode::from(2);
     };
-    let place: OpsAddress = match place.parse() {
-        Ok(place) => place,
+    let address: OpsAddress = match address.parse() {
+        Ok(address) => address,
         Err(why) => {
             eprintln!("{why}");
             return ExitCode::from(2);
         }
     };
-    let answer = ask(&place, &control::write(&ctl.call())).map_err(|e| e.to_string());
+    let answer = send_call(&address, &control::write(&ctl.call())).map_err(|e| e.to_string());
     match answer.and_then(|bytes| control::read(&bytes).map_err(str::to_owned)) {
         Ok(Answer::Accepted(text)) => {
             match ctl {
@@ -85,24 +88,31 @@
             ExitCode::from(1)
         }
         Ok(Answer::Failed(status, text)) => {
-            eprintln!("{place}: {status}: {text}");
+            eprintln!("{address}: {status}: {text}");
             ExitCode::from(4)
         }
         Err(why) => {
-            eprintln!("{place}: {why}");
+            eprintln!("{address}: {why}");
             ExitCode::from(3)
         }
     }
 }
 
-/// The picture of a fleet as a table, from its JSON; none: a later version's, which is shown as it is.
+/// Formats the JSON view of a fleet as a table; `None` if it is of a later version, which is printed as it
+/// is.
 fn fleet_table(json: &str) -> Option<String> {
     let view: View = simd_json::from_slice(&mut json.as_bytes().to_vec()).ok()?;
     let me = view.me;
     let mut rows = vec![["router", "state", "path", "for", "why"].map(str::to_owned)];
-    for one in view.members {
-        let since = format!("{:.1} s", one.since_ms as f64 / 1e3);
-        rows.push([one.name, one.state.as_str().to_owned(), one.path.as_str().to_owned(), since, one.why]);
+    for member in view.members {
+        let since = format!("{:.1} s", member.since_ms as f64 / 1e3);
+        rows.push([
+            member.name,
+            member.state.as_str().to_owned(),
+            member.path.as_str().to_owned(),
+            since,
+            member.why,
+        ]);
     }
     let width = |column: usize| rows.iter().map(|row| row[column].chars().count()).max().unwrap_or(0);
     let widths = [width(0), width(1), width(2), width(3)];
@@ -116,26 +126,28 @@
     Some(out)
 }
 
-fn ask(place: &OpsAddress, call: &[u8]) -> io::Result<Vec<u8>> {
-    match place {
+/// Sends a call and returns the bytes of the answer.
+fn send_call(address: &OpsAddress, call: &[u8]) -> io::Result<Vec<u8>> {
+    match address {
         OpsAddress::Tcp(address) => {
-            let mut stream = TcpStream::connect_timeout(address, PATIENCE)?;
-            stream.set_read_timeout(Some(PATIENCE))?;
+            let mut stream = TcpStream::connect_timeout(address, ANSWER_TIMEOUT)?;
+            stream.set_read_timeout(Some(ANSWER_TIMEOUT))?;
             stream.write_all(call)?;
             stream.shutdown(Shutdown::Write)?;
-            whole(stream)
+            read_answer(stream)
         }
         OpsAddress::Unix(path) => {
             let mut stream = UnixStream::connect(path)?;
-            stream.set_read_timeout(Some(PATIENCE))?;
+            stream.set_read_timeout(Some(ANSWER_TIMEOUT))?;
             stream.write_all(call)?;
             stream.shutdown(Shutdown::Write)?;
-            whole(stream)
+            read_answer(stream)
         }
     }
 }
 
-fn whole(stream: impl Read) -> io::Result<Vec<u8>> {
+/// Reads an answer up to the maximum size.
+fn read_answer(stream: impl Read) -> io::Result<Vec<u8>> {
     let mut bytes = Vec::new();
     stream.take(MAX_ANSWER_BYTES as u64).read_to_end(&mut bytes)?;
     Ok(bytes)
--- a/src/handover/mod.rs
+++ b/src/handover/mod.rs
@@ -1,8 +1,10 @@
-//! What the processes of one router share: a small file, versioned and checksummed, whole or nothing.
+//! The state that the processes of one router share during a hand-over: a small, versioned and checksummed
+//! file.
 //!
-//! Owns its form and the changes to it: the machines that operators have taken out, and which processes there are, from
-//! which the part of the cold budget follows that one may spend. [`store`] says when it is read and written; reading and
-//! writing files is [`crate::runtime`]'s; what follows from an exclusion is the reducer's.
+//! Owns the file format and the changes to the state: the machines that operators have excluded, and the
+//! running processes, from which the share of the cold start budget of each process follows. [`store`]
+//! decides when the file is read and written, [`crate::runtime`] does the file I/O, and the reducer applies
+//! exclusions.
 
 pub mod store;
 
@@ -14,81 +16,86 @@
 use std::fmt;
 use twox_hash::XxHash64;
 
-/// How a file begins; the last byte is the version.
+/// The first bytes of a file; the last one is the version.
 const MAGIC: &[u8; 8] = b"FTSTATE\x02";
-/// The magic, the length and the checksum.
-const HEAD: usize = 20;
-/// Bytes of a file, at most.
+/// Bytes of the header: the magic bytes, the length and the checksum of the body.
+const HEADER_BYTES: usize = 20;
+/// The maximum size of a file in bytes.
 pub const MAX_FILE_BYTES: usize = 512 * 1024;
-/// One that is older belongs to a process that is long gone, if none runs that has kept it.
+/// A file saved longer ago is stale, unless a running process has used it.
 pub const STALE_AFTER_MS: Millis = 15_000.0;
-/// How often a running process saves it anew.
+/// The interval at which a running process saves the file.
 pub const SAVE_INTERVAL_MS: Millis = 5000.0;
-/// A process of which nothing else is known and that has said nothing for this long is gone.
+/// A process that has not updated its entry for this long has exited, if its liveness can't be checked
+/// otherwise.
 pub const PROCESS_TIMEOUT_MS: Millis = 12_000.0;
-/// Processes that the file names; beyond that the longest silent one goes.
-const MOST_PROCESSES: usize = 8;
-/// How long it is remembered that a machine was taken back: far longer than any process goes without a look at the file.
-const REMEMBERED_MS: Millis = 600_000.0;
-/// And of how many: the latest.
-const MOST_REMEMBERED: usize = 256;
+/// The maximum number of processes in the file; the one that was updated least recently is removed first.
+const MAX_PROCESSES: usize = 8;
+/// How long the inclusion of a machine is remembered: far longer than any process goes without reading the
+/// file.
+const INCLUSION_RETENTION_MS: Millis = 600_000.0;
+/// The number of inclusions that are remembered; the latest ones are kept.
+const MAX_REMEMBERED_INCLUSIONS: usize = 256;
 
-/// Both clocks that the file's times are of, read at one moment.
+/// The two clocks that the file's times refer to, read at the same moment.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ClockReading {
-    /// The one that counts.
+    /// The time since boot, which decides.
     pub boot: BootTime,
-    /// The one by which processes of earlier versions judge the file's age.
+    /// The wall clock, by which processes of earlier versions judge the file's age.
     pub unix: UnixTime,
 }
 
 impl ClockReading {
-    /// Now.
+    /// Reads both clocks.
     pub fn read() -> Self {
         Self { boot: BootTime::now(), unix: UnixTime::now() }
     }
 }
 
-/// What a process last said of itself.
+/// The last entry of a process about itself.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 struct Presence {
-    said: BootTime,
-    ends: bool,
+    updated_at: BootTime,
+    terminating: bool,
 }
 
-/// The latest operator's call about a machine. All processes of a machine share the clock, so the later call wins.
+/// The latest exclusion or inclusion of a machine by an operator. All processes share the host's clock, so
+/// the later change wins.
 #[derive(Clone, Copy, Debug, PartialEq)]
-struct Call {
+struct Change {
     at: BootTime,
-    out: bool,
+    excluded: bool,
 }
 
-/// A call as a file has it, with when its machine was last listed.
+/// A change as it is stored in the file, with the time at which discovery last listed the machine.
 #[derive(Serialize, Deserialize)]
 struct Entry {
     at: BootTime,
-    out: bool,
-    listed: BootTime,
+    excluded: bool,
+    last_listed: BootTime,
 }
 
-/// What is handed over.
+/// The shared state.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct State {
-    /// Whose it is: where clients connect.
+    /// The address on which the router listens for clients; identifies the router.
     listen: String,
-    /// The boot of the machine that its times are of.
+    /// The boot of the host that the times refer to.
     boot_id: String,
     saved: BootTime,
-    /// Machines that operators have taken out, with when each was last listed.
+    /// Machines that operators have excluded, each with the time at which it was last listed.
     excluded: Exclusions,
-    calls: BTreeMap<String, Call>,
-    /// The processes of this router, by a number that each draws at its start.
+    /// The latest change of each machine, by the machine's name.
+    changes: BTreeMap<String, Change>,
+    /// The processes of this router, by the number that each generates at its start.
     processes: BTreeMap<u64, Presence>,
-    /// It was read from a file that a process of an earlier version wrote: what it doesn't name is not out.
-    is_whole: bool,
+    /// Read from a file of an earlier version, which stores no inclusions: a machine that it doesn't name is
+    /// not excluded.
+    is_complete: bool,
 }
 
-/// The part of a file that processes of earlier versions read, too: all its times are the wall clock's.
+/// The part of a file that processes of earlier versions read as well; all its times are wall clock times.
 #[derive(Serialize, Deserialize)]
 struct WallClockPart {
     saved: UnixTime,
@@ -97,7 +104,7 @@
     processes: BTreeMap<u64, (UnixTime, bool)>,
 }
 
-/// The part that they pass over.
+/// The part that processes of earlier versions ignore.
 #[derive(Serialize, Deserialize)]
 struct BootPart {
     boot_id: String,
@@ -106,122 +113,126 @@
     processes: BTreeMap<u64, Presence>,
 }
 
-/// Why a file is not taken.
+/// Why a state file is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StateError {
-    /// It is larger than one can be.
+    /// Larger than [`MAX_FILE_BYTES`].
     TooLarge,
-    /// It is no such file, or of another version.
+    /// Not a state file, or one of another version.
     UnknownFormat,
-    /// It is cut short or was changed.
+    /// Truncated or modified.
     Corrupt,
-    /// It is of a process that is long gone, or of another boot.
+    /// Saved too long ago, or before the host's last boot.
     Stale,
-    /// It is another router's.
+    /// The state of another router.
     OtherRouter,
 }
 
 impl fmt::Display for StateError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Self::TooLarge => "it is too large",
-            Self::UnknownFormat => "it is of another kind or version",
-            Self::Corrupt => "it is cut short or was changed",
-            Self::Stale => "it is too old",
-            Self::OtherRouter => "it is another router's",
+            Self::TooLarge => "too large",
+            Self::UnknownFormat => "unknown format or version",
+            Self::Corrupt => "truncated or corrupt",
+            Self::Stale => "too old",
+            Self::OtherRouter => "belongs to another router",
         })
     }
 }
 
 impl State {
-    /// The first state of a router that listens there, in this boot of its machine.
+    /// Returns the initial state of the router that listens at `listen`, in this boot of its host.
     pub fn new(listen: &str, boot_id: &str) -> Self {
         Self { listen: listen.to_owned(), boot_id: boot_id.to_owned(), ..Self::default() }
     }
 
-    /// The machines that operators have taken out.
+    /// Returns the machines that operators have excluded.
     pub fn excluded(&self) -> &Exclusions {
         &self.excluded
     }
 
-    /// Processes that have said that they are there.
+    /// Returns the numbers of the processes that are recorded as running.
     pub fn processes(&self) -> impl Iterator<Item = u64> + '_ {
         self.processes.keys().copied()
     }
 
-    /// Forgets processes that are gone: by what else is known of them, or by their silence.
+    /// Removes processes that have exited: by `alive`, which returns whether a process runs if that is known,
+    /// or else by the age of their entry.
     pub fn remove_exited(&mut self, now: BootTime, alive: impl Fn(u64) -> Option<bool>) {
-        let by_word = |presence: &Presence| now.since(presence.said).abs() <= PROCESS_TIMEOUT_MS;
-        self.processes.retain(|id, presence| alive(*id).unwrap_or_else(|| by_word(presence)));
+        let updated = |presence: &Presence| now.since(presence.updated_at).abs() <= PROCESS_TIMEOUT_MS;
+        self.processes.retain(|id, presence| alive(*id).unwrap_or_else(|| updated(presence)));
     }
 
-    /// A process says that it is there, and whether it was told to end.
-    pub fn record_process(&mut self, me: u64, ends: bool, now: BootTime) {
+    /// Records that a process runs, and whether it is shutting down.
+    pub fn record_process(&mut self, process: u64, terminating: bool, now: BootTime) {
         self.saved = now;
-        self.processes.insert(me, Presence { said: now, ends });
-        while self.processes.len() > MOST_PROCESSES {
-            let others = self.processes.iter().filter(|(id, _)| **id != me);
-            let oldest = others.min_by(|(_, a), (_, b)| a.said.0.total_cmp(&b.said.0)).map(|(id, _)| *id);
+        self.processes.insert(process, Presence { updated_at: now, terminating });
+        while self.processes.len() > MAX_PROCESSES {
+            let others = self.processes.iter().filter(|(id, _)| **id != process);
+            let oldest =
+                others.min_by(|(_, a), (_, b)| a.updated_at.0.total_cmp(&b.updated_at.0)).map(|(id, _)| *id);
             let Some(oldest) = oldest else { return };
             self.processes.remove(&oldest);
         }
     }
 
-    /// An operator's call to a process: a machine is out from now on, or back.
+    /// Applies an operator's change, made through a process: excludes a machine from now on, or includes it
+    /// again.
     pub fn set_excluded(
         &mut self,
-        me: u64,
-        ends: bool,
+        process: u64,
+        terminating: bool,
         name: &str,
-        out: bool,
+        excluded: bool,
         now: BootTime,
     ) -> Result<(), TooMany> {
-        self.excluded.change(name, out, now)?;
-        self.calls.insert(name.to_owned(), Call { at: now, out });
-        self.record_process(me, ends, now);
+        self.excluded.change(name, excluded, now)?;
+        self.changes.insert(name.to_owned(), Change { at: now, excluded });
+        self.record_process(process, terminating, now);
         Ok(())
     }
 
-    /// Notes which machines are still listed, and forgets names that are long gone.
+    /// Records which machines discovery still lists, and removes expired names and inclusions.
     pub fn expire(&mut self, now: BootTime, listed: impl Fn(&str) -> bool) {
         self.excluded.expire(now, listed);
         let excluded = &self.excluded;
-        self.calls.retain(|name, call| excluded.contains(name) || now.since(call.at) <= REMEMBERED_MS);
-        let mut back: Vec<(BootTime, String)> = self
-            .calls
+        self.changes
+            .retain(|name, change| excluded.contains(name) || now.since(change.at) <= INCLUSION_RETENTION_MS);
+        let mut included: Vec<(BootTime, String)> = self
+            .changes
             .iter()
-            .filter(|(_, call)| !call.out)
-            .map(|(name, call)| (call.at, name.clone()))
+            .filter(|(_, change)| !change.excluded)
+            .map(|(name, change)| (change.at, name.clone()))
             .collect();
-        back.sort_by(|(a, _), (b, _)| b.0.total_cmp(&a.0));
-        for (_, name) in back.into_iter().skip(MOST_REMEMBERED) {
-            self.calls.remove(&name);
+        included.sort_by(|(a, _), (b, _)| b.0.total_cmp(&a.0));
+        for (_, name) in included.into_iter().skip(MAX_REMEMBERED_INCLUSIONS) {
+            self.changes.remove(&name);
         }
     }
 
-    /// A process is gone.
-    pub fn remove_process(&mut self, me: u64, now: BootTime) {
+    /// Removes a process that exits.
+    pub fn remove_process(&mut self, process: u64, now: BootTime) {
         self.saved = now;
-        self.processes.remove(&me);
+        self.processes.remove(&process);
     }
 
-    /// Takes over what another state says: of each machine the later call, of each process the later word.
+    /// Merges another state into this one: of each machine the later change, of each process the later entry.
     pub fn merge(&mut self, other: &Self) {
-        if other.is_whole {
-            *self = Self { is_whole: false, ..other.clone() };
+        if other.is_complete {
+            *self = Self { is_complete: false, ..other.clone() };
             return;
         }
-        for (name, call) in &other.calls {
-            if self.calls.get(name).is_some_and(|own| own.at >= call.at) {
+        for (name, change) in &other.changes {
+            if self.changes.get(name).is_some_and(|own| own.at >= change.at) {
                 continue;
             }
-            self.calls.insert(name.clone(), *call);
-            let listed = other.excluded.last_listed(name).unwrap_or(call.at);
-            // What another process was allowed is not refused here.
-            self.excluded.set(name, call.out, listed);
+            self.changes.insert(name.clone(), *change);
+            let last_listed = other.excluded.last_listed(name).unwrap_or(change.at);
+            // No limit applies: another process has accepted the change already.
+            self.excluded.set(name, change.excluded, last_listed);
         }
         for (id, presence) in &other.processes {
-            let known = self.processes.get(id).is_some_and(|own| own.said >= presence.said);
+            let known = self.processes.get(id).is_some_and(|own| own.updated_at >= presence.updated_at);
             if !known {
                 self.processes.insert(*id, *presence);
             }
@@ -231,63 +242,68 @@
         }
     }
 
-    /// Whether this state says anything of a machine that the other doesn't know.
+    /// Returns whether this state has a change of a machine that the other state lacks.
     pub fn has_changes_unknown_to(&self, other: &Self) -> bool {
-        if other.is_whole {
+        if other.is_complete {
             return false;
         }
-        let newer = |(name, call): (&String, &Call)| {
-            other.calls.get(name).is_none_or(|known| known.at < call.at)
-                && (call.out || other.excluded.contains(name))
+        let newer = |(name, change): (&String, &Change)| {
+            other.changes.get(name).is_none_or(|known| known.at < change.at)
+                && (change.excluded || other.excluded.contains(name))
         };
-        self.calls.iter().any(newer)
+        self.changes.iter().any(newer)
     }
 
-    /// Whether it was saved so long ago that whoever did is gone, if nothing else is known of them.
+    /// Returns whether the state was saved before the host's last boot, or so long ago that the process that
+    /// saved it has exited, unless its liveness is known otherwise.
     pub fn is_stale(&self, boot_id: &str, now: BootTime) -> bool {
         self.boot_id != boot_id || !(-STALE_AFTER_MS..=STALE_AFTER_MS).contains(&now.since(self.saved))
     }
 
-    /// The part of the cold budget that a process may spend: alone all of it, beside others an equal part. One that ends
-    /// leaves it to its successors, if it has any. `alive`: what else is known of whether a process runs.
-    pub fn cold_share(&self, me: u64, now: BootTime, alive: impl Fn(u64) -> Option<bool>) -> f64 {
-        let there = |(id, presence): &(&u64, &Presence)| {
-            let by_word = || now.since(presence.said).abs() <= PROCESS_TIMEOUT_MS;
-            **id != me && alive(**id).unwrap_or_else(by_word)
+    /// Returns the share of the cold start budget that a process may spend, 0 to 1: a single process has all
+    /// of it, several have equal shares. A process that is shutting down leaves its share to its successors,
+    /// if there are any. `alive` returns whether a process runs, if that is known from elsewhere.
+    pub fn cold_share(&self, process: u64, now: BootTime, alive: impl Fn(u64) -> Option<bool>) -> f64 {
+        let runs = |(id, presence): &(&u64, &Presence)| {
+            let updated = || now.since(presence.updated_at).abs() <= PROCESS_TIMEOUT_MS;
+            **id != process && alive(**id).unwrap_or_else(updated)
         };
-        let others = self.processes.iter().filter(there).filter(|(_, presence)| !presence.ends).count();
-        match self.processes.get(&me) {
-            Some(presence) if presence.ends && others > 0 => 0.0,
+        let others = self.processes.iter().filter(runs).filter(|(_, presence)| !presence.terminating).count();
+        match self.processes.get(&process) {
+            Some(presence) if presence.terminating && others > 0 => 0.0,
             _ => 1.0 / (1.0 + others as f64),
         }
     }
 
-    /// The bytes of a file; `None`: there is more than a file may hold.
+    /// Encodes the state as the bytes of a file; `None` if it exceeds [`MAX_FILE_BYTES`].
     pub fn encode(&self, now: ClockReading) -> Option<Vec<u8>> {
         let wall = |at: BootTime| UnixTime(now.unix.0 - now.boot.since(at));
         let excluded = self.excluded.names().map(|name| {
-            let listed = self.excluded.last_listed(name).unwrap_or(now.boot);
-            (name.to_owned(), wall(listed))
+            let last_listed = self.excluded.last_listed(name).unwrap_or(now.boot);
+            (name.to_owned(), wall(last_listed))
         });
-        let processes = self.processes.iter().map(|(id, one)| (*id, (wall(one.said), one.ends)));
+        let processes = self
+            .processes
+            .iter()
+            .map(|(id, presence)| (*id, (wall(presence.updated_at), presence.terminating)));
         let wall_clock_part = WallClockPart {
             saved: wall(self.saved),
             listen: self.listen.clone(),
             excluded: excluded.collect(),
             processes: processes.collect(),
         };
-        let entry = |(name, call): (&String, &Call)| {
-            let listed = self.excluded.last_listed(name).unwrap_or(call.at);
-            (name.clone(), Entry { at: call.at, out: call.out, listed })
+        let entry = |(name, change): (&String, &Change)| {
+            let last_listed = self.excluded.last_listed(name).unwrap_or(change.at);
+            (name.clone(), Entry { at: change.at, excluded: change.excluded, last_listed })
         };
         let boot_part = BootPart {
             boot_id: self.boot_id.clone(),
             saved: self.saved,
-            entries: self.calls.iter().map(entry).collect(),
+            entries: self.changes.iter().map(entry).collect(),
             processes: self.processes.clone(),
         };
         let body = postcard::to_stdvec(&(wall_clock_part, boot_part)).ok();
-        let body = body.filter(|body| body.len() <= MAX_FILE_BYTES - HEAD)?;
+        let body = body.filter(|body| body.len() <= MAX_FILE_BYTES - HEADER_BYTES)?;
         let mut out = MAGIC.to_vec();
         out.extend_from_slice(&(body.len() as u32).to_le_bytes());
         out.extend_from_slice(&XxHash64::oneshot(0, &body).to_le_bytes());
@@ -295,37 +311,38 @@
         Some(out)
     }
 
-    /// Reads a file's bytes for the router that listens there. How old it may be is for the caller to say.
+    /// Decodes a file's bytes for the router that listens at `listen`. The caller checks the age, except for
+    /// files of earlier versions.
     pub fn decode(bytes: &[u8], listen: &str, boot_id: &str, now: ClockReading) -> Result<Self, StateError> {
         if bytes.len() > MAX_FILE_BYTES {
             return Err(StateError::TooLarge);
         }
-        let rest = bytes.strip_prefix(MAGIC).ok_or(StateError::UnknownFormat)?;
-        let (length, rest) = rest.split_first_chunk::<4>().ok_or(StateError::Corrupt)?;
-        let (sum, body) = rest.split_first_chunk::<8>().ok_or(StateError::Corrupt)?;
-        let whole = body.len() == u32::from_le_bytes(*length) as usize;
-        if !whole || XxHash64::oneshot(0, body) != u64::from_le_bytes(*sum) {
+        let remaining = bytes.strip_prefix(MAGIC).ok_or(StateError::UnknownFormat)?;
+        let (length, remaining) = remaining.split_first_chunk::<4>().ok_or(StateError::Corrupt)?;
+        let (sum, body) = remaining.split_first_chunk::<8>().ok_or(StateError::Corrupt)?;
+        let complete = body.len() == u32::from_le_bytes(*length) as usize;
+        if !complete || XxHash64::oneshot(0, body) != u64::from_le_bytes(*sum) {
             return Err(StateError::Corrupt);
         }
-        let (wall_clock_part, rest) =
+        let (wall_clock_part, remaining) =
             postcard::take_from_bytes::<WallClockPart>(body).map_err(|_| StateError::Corrupt)?;
         if wall_clock_part.listen != listen {
             return Err(StateError::OtherRouter);
         }
-        if rest.is_empty() {
+        if remaining.is_empty() {
             return Self::decode_earlier_version(wall_clock_part, boot_id, now);
         }
-        let part: BootPart = postcard::from_bytes(rest).map_err(|_| StateError::Corrupt)?;
+        let part: BootPart = postcard::from_bytes(remaining).map_err(|_| StateError::Corrupt)?;
         let mut state = Self::new(&wall_clock_part.listen, &part.boot_id);
         (state.saved, state.processes) = (part.saved, part.processes);
-        for (name, Entry { at, out, listed }) in part.entries {
-            state.excluded.set(&name, out, listed);
-            state.calls.insert(name, Call { at, out });
+        for (name, Entry { at, excluded, last_listed }) in part.entries {
+            state.excluded.set(&name, excluded, last_listed);
+            state.changes.insert(name, Change { at, excluded });
         }
         Ok(state)
     }
 
-    /// What a process of an earlier version has saved: its ages are by the wall clock.
+    /// Decodes the state of a process of an earlier version, whose age is known by the wall clock only.
     fn decode_earlier_version(
         part: WallClockPart,
         boot_id: &str,
@@ -336,13 +353,13 @@
             return Err(StateError::Stale);
         }
         let mut state = Self::new(&part.listen, boot_id);
-        (state.saved, state.is_whole) = (now.boot, true);
+        (state.saved, state.is_complete) = (now.boot, true);
         for name in part.excluded.into_keys() {
             state.excluded.set(&name, true, now.boot);
-            state.calls.insert(name, Call { at: now.boot, out: true });
+            state.changes.insert(name, Change { at: now.boot, excluded: true });
         }
-        for (id, (_, ends)) in part.processes {
-            state.processes.insert(id, Presence { said: now.boot, ends });
+        for (id, (_, terminating)) in part.processes {
+            state.processes.insert(id, Presence { updated_at: now.boot, terminating });
         }
         Ok(state)
     }
--- a/src/handover/store.rs
+++ b/src/handover/store.rs
@@ -1,14 +1,17 @@
-//! When the shared file is read and written, and what a process concludes from it.
+//! Decides when the shared file is read and written, and what a process concludes from its content.
 //!
-//! What always holds, whatever write, sync or rename fails, is cut short or lost, and whoever dies where: a call that was
-//! answered yes holds in every process that has looked since, as long as one runs that knew of it, or that started while
-//! such a one ran. The lines that keep it:
+//! Invariant, whichever write, sync or rename fails, is truncated or lost, and whichever process dies at any
+//! step: a change that was confirmed to an operator is in effect in every process that has read the file
+//! since, as long as a process runs that knew of the change, or that started while such a process ran. The
+//! rules that preserve it:
 //!
-//! - a change is read, applied and put in place under one lock ([`Store::change`]), and answered yes after;
-//! - a process that has started beside a file that can't be used knows nothing ([`Knowledge::None`]) and writes nothing
-//!   while another one runs;
-//! - whoever knows more than the file says writes that, and goes on until it is there ([`Store::refresh`], `owes`);
-//! - the later call about a machine wins ([`State::merge`]).
+//! - a change reads, modifies and replaces the file under one lock ([`Store::change`]), and is confirmed
+//!   afterwards;
+//! - a process that found an unusable file at its start knows nothing ([`Knowledge::None`]) and writes
+//!   nothing while another process runs;
+//! - a process that has changes which the file lacks writes them, and retries until that succeeds
+//!   ([`Store::refresh`], `unsaved`);
+//! - the later change of a machine wins ([`State::merge`]).
 
 use super::{ClockReading, State, SAVE_INTERVAL_MS};
 use crate::api::Millis;
@@ -19,66 +22,66 @@
 use std::io;
 use twox_hash::XxHash64;
 
-/// The pause before what is owed to the file is written again.
-const AGAIN_MS: Millis = 50.0;
+/// The interval between attempts to save changes that the file lacks.
+const SAVE_RETRY_MS: Millis = 50.0;
 
-/// The folder in which the processes of a router meet.
+/// The folder that the processes of a router share.
 pub trait Folder {
-    /// Nobody else changes the file until it is dropped.
+    /// No other process changes the file until the lock is dropped.
     type Lock;
 
-    /// Waits for the lock, a while.
+    /// Takes the lock, waiting for it for a limited time.
     fn lock(&mut self) -> io::Result<Self::Lock>;
-    /// What the file says; `None`: there is none.
+    /// Returns the content of the file; `None` if there is no file.
     fn read(&self) -> io::Result<Option<Vec<u8>>>;
-    /// Writes a new file beside it.
+    /// Writes a temporary file.
     fn write_temporary(&mut self, bytes: &[u8]) -> io::Result<()>;
-    /// Has what was written beside it reach the disk.
+    /// Syncs the temporary file to the disk.
     fn sync_temporary(&mut self) -> io::Result<()>;
-    /// Puts the new file in its place.
+    /// Replaces the file with the temporary file.
     fn replace_file(&mut self) -> io::Result<()>;
-    /// Has that reach the disk.
+    /// Syncs the folder, and with it the replacement, to the disk.
     fn sync_folder(&mut self) -> io::Result<()>;
-    /// Whether another process runs; `None`: that can't be told from the folder.
+    /// Returns whether a process runs; `None` if that is not known from the folder.
     fn is_alive(&self, process: u64) -> Option<bool>;
-    /// Whether any other process runs, as far as the folder tells. In doubt one does.
+    /// Returns whether any other process runs, as far as the folder shows; `true` in doubt.
     fn other_process_runs(&self) -> bool;
 }
 
-/// What a process knows of the router's state.
+/// What a process knows of the shared state.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Knowledge {
-    /// What the file said when it could last be used, and what this process has changed.
+    /// The last usable content of the file, and the changes that this process has made.
     All,
-    /// It has started beside a file that can't be used.
+    /// Nothing: the file was unusable when the process started.
     None,
 }
 
-/// What a look at the file has brought.
+/// The result of reading the file.
 #[derive(Debug)]
 pub enum Refreshed {
-    /// Nothing new.
+    /// The file has not changed.
     ChangeError,
-    /// Another process has changed it.
+    /// Another process has changed the file.
     Changed,
-    /// It can't be used.
+    /// The file is missing or its content is unusable.
     Unusable,
-    /// It can't be read.
+    /// The file can't be read.
     Unreadable(io::Error),
 }
 
-/// Why a change doesn't hold.
+/// Why a change is not in effect.
 #[derive(Debug)]
 pub enum ChangeError {
-    /// As many machines are out as may be.
+    /// The maximum number of machines is excluded.
     TooManyExcluded(TooMany),
-    /// It could not be saved.
+    /// The change can't be saved.
     NotSaved(io::Error),
-    /// This process knows nothing of what another one has said yes to.
+    /// This process does not know the changes that another process has confirmed.
     StateUnknown,
 }
 
-/// Whether a change is on the disk before it counts.
+/// Whether a change must be on the disk before it is in effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Sync {
     Awaited,
@@ -89,81 +92,83 @@
 #[derive(Debug)]
 pub struct Store<F> {
     folder: F,
-    /// This process's number in the file.
-    me: u64,
+    /// The number of this process in the file.
+    process: u64,
     boot_id: String,
     listen: String,
     knowledge: Knowledge,
     state: State,
-    /// A hash of the file as it last was. Its times won't do: two processes may write it within one tick of the file
-    /// system's clock.
+    /// The hash of the file when it was last read or written. The modification time is not enough: two
+    /// processes may write within one tick of the file system's clock.
     seen: Option<u64>,
-    /// The file was good once while this process ran.
-    was_there: bool,
-    /// What this process knows is not in the file.
-    owes: bool,
+    /// The file has been usable while this process ran.
+    was_usable: bool,
+    /// The file lacks changes that this process knows.
+    unsaved: bool,
     save_at: BootTime,
-    /// It was saved that this process ends.
-    said_end: bool,
+    /// The file says that this process is shutting down.
+    saved_terminating: bool,
 }
 
 impl<F: Folder> Store<F> {
-    /// A process that starts, under a number of its own. To be followed by [`Store::maintain`].
-    pub fn new(folder: F, me: u64, listen: &str, boot_id: &str, now: ClockReading) -> Self {
+    /// Creates the store of a process that starts, under a number of its own. The caller runs
+    /// [`Store::maintain`] next.
+    pub fn new(folder: F, process: u64, listen: &str, boot_id: &str, now: ClockReading) -> Self {
         Self {
             folder,
-            me,
+            process,
             boot_id: boot_id.to_owned(),
             listen: listen.to_owned(),
             knowledge: Knowledge::None,
             state: State::new(listen, boot_id),
             seen: None,
-            was_there: false,
-            owes: false,
+            was_usable: false,
+            unsaved: false,
             save_at: now.boot,
-            said_end: false,
+            saved_terminating: false,
         }
     }
 
-    /// What it knows.
+    /// Returns the state as this process knows it.
     pub fn state(&self) -> &State {
         &self.state
     }
 
-    /// The folder.
+    /// Returns the folder.
     pub fn folder_mut(&mut self) -> &mut F {
         &mut self.folder
     }
 
-    /// Whether it was saved that this process ends, and another one runs that takes its part over.
+    /// Returns whether the file says that this process is shutting down, and another process has taken over.
     pub fn has_successor(&self, now: BootTime) -> bool {
-        self.said_end && self.cold_share(now) == 0.0
+        self.saved_terminating && self.cold_share(now) == 0.0
     }
 
-    /// The part of the cold budget that this process may spend.
+    /// Returns the share of the cold start budget that this process may spend, 0 to 1.
     pub fn cold_share(&self, now: BootTime) -> f64 {
-        self.state.cold_share(self.me, now, |id| self.folder.is_alive(id))
+        self.state.cold_share(self.process, now, |id| self.folder.is_alive(id))
     }
 
-    /// Whether this process must not end yet if it can help it: what it has said yes to is in no file.
+    /// Returns whether exclusions that this process knows are missing from the file, so that it should not
+    /// exit yet.
     pub fn has_unsaved_changes(&self) -> bool {
-        self.owes && !self.state.excluded().is_empty()
+        self.unsaved && !self.state.excluded().is_empty()
     }
 
-    /// When [`Store::maintain`] is wanted.
+    /// Returns when [`Store::maintain`] must run next.
     pub fn next_save_at(&self) -> BootTime {
         self.save_at
     }
 
-    /// Reads the file.
+    /// Reads the file and merges changes of other processes.
     pub fn refresh(&mut self, now: ClockReading) -> Refreshed {
         let bytes = match self.folder.read() {
             Err(e) => return Refreshed::Unreadable(e),
-            Ok(None) if self.was_there => {
-                self.owes = true; // Somebody has taken it away.
+            Ok(None) if self.was_usable => {
+                self.unsaved = true; // The file was removed.
                 return Refreshed::Unusable;
             }
-            // Nobody has said yes to anything yet: it would be there.
+            // No change has been confirmed yet: there would be a file.
             Ok(None) => {
                 self.knowledge = Knowledge::All;
                 return Refreshed::ChangeError;
@@ -177,10 +182,10 @@
         self.seen = hash;
         let read = State::decode(&bytes, &self.listen, &self.boot_id, now);
         let read = read.and_then(|state| {
-            // Whoever runs has kept it, however long ago it was last written.
-            let kept = self.knowledge == Knowledge::All || self.folder.other_process_runs();
-            let old = !kept && state.is_stale(&self.boot_id, now.boot);
-            if old {
+            // A running process has kept the state current, however long ago the file was written.
+            let current = self.knowledge == Knowledge::All || self.folder.other_process_runs();
+            let stale = !current && state.is_stale(&self.boot_id, now.boot);
+            if stale {
                 Err(super::StateError::Stale)
             } else {
                 Ok(state)
@@ -188,15 +193,15 @@
         });
         match read {
             Ok(state) => {
-                self.owes = self.state.has_changes_unknown_to(&state);
+                self.unsaved = self.state.has_changes_unknown_to(&state);
                 self.state.merge(&state);
-                (self.knowledge, self.was_there) = (Knowledge::All, true);
+                (self.knowledge, self.was_usable) = (Knowledge::All, true);
                 Refreshed::Changed
             }
             Err(why) => {
-                log_line!("what another process has saved is not taken: {why}");
-                self.owes |= self.knowledge == Knowledge::All;
-                if self.owes {
+                log_line!("ignoring the shared state file: {why}");
+                self.unsaved |= self.knowledge == Knowledge::All;
+                if self.unsaved {
                     self.save_at = now.boot;
                 }
                 Refreshed::Unusable
@@ -204,47 +209,48 @@
         }
     }
 
-    /// A process that knows nothing, with nobody left who does: what it knows is all there is.
-    fn conclude(&mut self) {
+    /// Lets a process that knows nothing start from its empty state once no other process runs.
+    fn adopt_empty_state(&mut self) {
         if self.knowledge == Knowledge::None && !self.folder.other_process_runs() {
-            (self.knowledge, self.owes) = (Knowledge::All, true);
+            (self.knowledge, self.unsaved) = (Knowledge::All, true);
         }
     }
 
-    /// Looks at the file, and keeps it fresh: says that this process is there and whether it ends, and writes what is owed.
-    /// `listed`: whether a machine is listed now.
-    pub fn maintain(&mut self, now: ClockReading, ends: bool, listed: impl Fn(&str) -> bool) {
-        let looked = self.refresh(now);
-        if let Refreshed::Unreadable(e) = &looked {
-            log_line!("what another process has saved can't be read: {e}");
+    /// Reads the file, and saves it if necessary: records that this process runs and whether it is shutting
+    /// down, and writes changes that the file lacks. `listed` returns whether discovery lists a machine.
+    pub fn maintain(&mut self, now: ClockReading, terminating: bool, listed: impl Fn(&str) -> bool) {
+        let refreshed = self.refresh(now);
+        if let Refreshed::Unreadable(e) = &refreshed {
+            log_line!("cannot read the shared state file: {e}");
         }
-        self.conclude();
-        let due = self.owes || self.save_at <= now.boot || self.said_end != ends;
+        self.adopt_empty_state();
+        let due = self.unsaved || self.save_at <= now.boot || self.saved_terminating != terminating;
         if self.knowledge != Knowledge::All || !due {
             return;
         }
-        let me = self.me;
+        let process = self.process;
         let alive = |id| Some((id, self.folder.is_alive(id)?));
         let alive: BTreeMap<u64, bool> = self.state.processes().filter_map(alive).collect();
-        // Only what a yes hangs on is worth the wait for the disk.
-        let sync = if self.owes { Sync::Awaited } else { Sync::NotAwaited };
+        // Only confirmed changes are worth waiting for the disk.
+        let sync = if self.unsaved { Sync::Awaited } else { Sync::NotAwaited };
         let saved = self.change(now, sync, |state| {
             state.expire(now.boot, listed);
             state.remove_exited(now.boot, |id| alive.get(&id).copied());
-            state.record_process(me, ends, now.boot);
+            state.record_process(process, terminating, now.boot);
             Ok(())
         });
         match saved {
-            Ok(()) => self.said_end = ends,
+            Ok(()) => self.saved_terminating = terminating,
             Err(ChangeError::NotSaved(e)) => {
-                self.save_at = BootTime(now.boot.0 + AGAIN_MS);
-                log_line!("what the next process must know can't be saved: {e}");
+                self.save_at = BootTime(now.boot.0 + SAVE_RETRY_MS);
+                log_line!("cannot save the shared state file: {e}");
             }
             Err(ChangeError::TooManyExcluded(_) | ChangeError::StateUnknown) => {}
         }
     }
 
-    /// One change: what is saved now, the change applied, saved. A change that isn't made writes nothing.
+    /// Reads the file, applies a change and saves the result, under the lock. A change that fails writes
+    /// nothing.
     fn change(
         &mut self,
         now: ClockReading,
@@ -253,9 +259,9 @@
     ) -> Result<(), ChangeError> {
         let _lock = self.folder.lock().map_err(ChangeError::NotSaved)?;
         if let Refreshed::Unreadable(e) = self.refresh(now) {
-            return Err(ChangeError::NotSaved(e)); // It may say more than this process knows.
+            return Err(ChangeError::NotSaved(e)); // It may have changes that this process does not know.
         }
-        self.conclude();
+        self.adopt_empty_state();
         if self.knowledge != Knowledge::All {
             return Err(ChangeError::StateUnknown);
         }
@@ -264,47 +270,51 @@
         self.save(state, now, sync).map_err(ChangeError::NotSaved)
     }
 
-    /// An operator's call: a machine is out from now on, or back.
+    /// Applies and saves an operator's change: excludes a machine from now on, or includes it again.
     pub fn set_excluded(
         &mut self,
         now: ClockReading,
-        ends: bool,
+        terminating: bool,
         name: &str,
-        out: bool,
+        excluded: bool,
     ) -> Result<(), ChangeError> {
-        let me = self.me;
-        self.change(now, Sync::Awaited, |state| state.set_excluded(me, ends, name, out, now.boot))
+        let process = self.process;
+        self.change(now, Sync::Awaited, |state| {
+            state.set_excluded(process, terminating, name, excluded, now.boot)
+        })
     }
 
-    /// This process ends: whoever runs on has the whole budget.
+    /// Removes this process, which exits, so that the others have the whole cold start budget.
     pub fn leave_router(&mut self, now: ClockReading) -> Result<(), ChangeError> {
-        let me = self.me;
+        let process = self.process;
         self.change(now, Sync::NotAwaited, |state| {
-            state.remove_process(me, now.boot);
+            state.remove_process(process, now.boot);
             Ok(())
         })
     }
 
     fn save(&mut self, state: State, now: ClockReading, sync: Sync) -> io::Result<()> {
-        let bytes = state.encode(now).ok_or_else(|| io::Error::other("there is too much"))?;
+        let bytes =
+            state.encode(now).ok_or_else(|| io::Error::other("the state exceeds the maximum file size"))?;
         self.folder.write_temporary(&bytes)?;
         if sync == Sync::Awaited {
             self.folder.sync_temporary()?;
         }
         if let Err(e) = self.folder.replace_file() {
-            // It may have been done all the same: then it holds, whatever is answered.
-            if !self.folder.read().is_ok_and(|there| there.as_ref() == Some(&bytes)) {
+            // The replacement may have happened all the same; then the change is in effect.
+            if !self.folder.read().is_ok_and(|current| current.as_ref() == Some(&bytes)) {
                 return Err(e);
             }
         }
         if sync == Sync::Awaited {
             if let Err(e) = self.folder.sync_folder() {
-                // It is there for every process; only the machine's own end could lose it, and nobody is left then.
-                log_line!("that what was saved reaches the disk can't be told: {e}");
+                // Every process sees the change; only a crash of the host could lose it, which ends all
+                // processes.
+                log_line!("cannot sync the folder of the shared state file: {e}");
             }
         }
         (self.seen, self.state) = (Some(XxHash64::oneshot(0, &bytes)), state);
-        (self.was_there, self.owes) = (true, false);
+        (self.was_usable, self.unsaved) = (true, false);
         self.save_at = BootTime(now.boot.0 + SAVE_INTERVAL_MS);
         Ok(())
     }
--- a/src/handover/store/tests.rs
+++ b/src/handover/store/tests.rs
@@ -1,5 +1,5 @@
-//! Two processes and their successors over a folder in which any step may fail, be cut short, be done though it is said
-//! to have failed, or be a process's last.
+//! Runs two processes and their successors on a folder in which any step may fail, be done in part, be done
+//! though it reports a failure, or end with the death of the process.
 
 use super::*;
 use crate::clock::UnixTime;
@@ -11,26 +11,27 @@
 const LISTEN: &str = "127.0.0.1:7";
 const BOOT: &str = "this boot";
 const NAMES: [&str; 2] = ["s-1", "s-2"];
-/// What a system's error is.
+/// The error number of failing steps.
 const EIO: i32 = 5;
-const PLACES: u64 = 2;
+/// The maximum number of processes at a time.
+const MAX_RUNNING: u64 = 2;
 
-/// What becomes of one step in the folder.
+/// The outcome of one step in the folder.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Fate {
-    /// It is done.
+    /// Done.
     Done,
-    /// It fails, and nothing is done.
+    /// Not done, and reported as failed.
     Fails,
-    /// It is cut short, and fails.
+    /// Done in part, and reported as failed.
     Short,
-    /// It is done, and said to have failed.
+    /// Done, but reported as failed.
     DoneAndFails,
-    /// The process dies before it.
+    /// The process dies before the step.
     DiesBefore,
-    /// The process dies in its middle.
+    /// The process dies during the step.
     DiesMidway,
-    /// The process dies after it.
+    /// The process dies after the step.
     DiesAfter,
 }
 
@@ -50,7 +51,7 @@
     beside: BTreeMap<u64, Vec<u8>>,
     locked_by: Option<u64>,
     alive: BTreeSet<u64>,
-    /// What becomes of the next steps.
+    /// The outcomes of the next steps.
     fates: Vec<Fate>,
 }
 
@@ -67,15 +68,15 @@
 #[derive(Clone, Debug)]
 struct Memory {
     disk: Rc<RefCell<Disk>>,
-    me: u64,
+    process: u64,
 }
 
 impl Memory {
-    /// One step: `act` does it wholly (true) or half (false).
+    /// Runs one step: `act` does all of it (true) or a part (false).
     fn step(&self, act: impl Fn(&mut Disk, bool)) -> io::Result<()> {
         let mut disk = self.disk.borrow_mut();
         let failed = || Err(io::Error::from_raw_os_error(EIO));
-        if !disk.alive.contains(&self.me) {
+        if !disk.alive.contains(&self.process) {
             return failed();
         }
         let fate = if disk.fates.is_empty() { Fate::Done } else { disk.fates.remove(0) };
@@ -85,7 +86,7 @@
             Fate::Fails | Fate::DiesBefore => {}
         }
         if matches!(fate, Fate::DiesBefore | Fate::DiesMidway | Fate::DiesAfter) {
-            disk.dies(self.me);
+            disk.dies(self.process);
         }
         if fate == Fate::Done {
             Ok(())
@@ -100,7 +101,7 @@
 impl Drop for Lock {
     fn drop(&mut self) {
         let mut disk = self.0.disk.borrow_mut();
-        if disk.locked_by == Some(self.0.me) {
+        if disk.locked_by == Some(self.0.process) {
             disk.locked_by = None;
         }
     }
@@ -110,25 +111,25 @@
     type Lock = Lock;
 
     fn lock(&mut self) -> io::Result<Lock> {
-        let me = self.me;
-        assert_eq!(self.disk.borrow().locked_by, None, "nobody keeps it beyond a change");
-        let lock = Lock(self.clone()); // However it fails, its file is closed, and the lock with it.
-        self.step(|disk, wholly| disk.locked_by = Some(me).filter(|_| wholly))?;
+        let process = self.process;
+        assert_eq!(self.disk.borrow().locked_by, None, "no process keeps the lock beyond a change");
+        let lock = Lock(self.clone()); // A failure closes the file, which releases the lock.
+        self.step(|disk, complete| disk.locked_by = Some(process).filter(|_| complete))?;
         Ok(lock)
     }
 
     fn read(&self) -> io::Result<Option<Vec<u8>>> {
-        if !self.disk.borrow().alive.contains(&self.me) {
+        if !self.disk.borrow().alive.contains(&self.process) {
             return Err(io::Error::from_raw_os_error(EIO));
         }
         Ok(self.disk.borrow().file.clone())
     }
 
     fn write_temporary(&mut self, bytes: &[u8]) -> io::Result<()> {
-        let me = self.me;
-        self.step(|disk, wholly| {
-            let written = if wholly { bytes } else { &bytes[..bytes.len() / 2] };
-            disk.beside.insert(me, written.to_vec());
+        let process = self.process;
+        self.step(|disk, complete| {
+            let written = if complete { bytes } else { &bytes[..bytes.len() / 2] };
+            disk.beside.insert(process, written.to_vec());
         })
     }
 
@@ -137,9 +138,9 @@
     }
 
     fn replace_file(&mut self) -> io::Result<()> {
-        let me = self.me;
-        self.step(|disk, wholly| {
-            if let Some(bytes) = disk.beside.remove(&me).filter(|_| wholly) {
+        let process = self.process;
+        self.step(|disk, complete| {
+            if let Some(bytes) = disk.beside.remove(&process).filter(|_| complete) {
                 disk.file = Some(bytes);
             }
         })
@@ -154,27 +155,27 @@
     }
 
     fn other_process_runs(&self) -> bool {
-        self.disk.borrow().alive.iter().any(|process| *process != self.me)
+        self.disk.borrow().alive.iter().any(|process| *process != self.process)
     }
 }
 
-/// The processes of one router, at most two at once, and what their operators were told.
+/// The processes of one router, at most [`MAX_RUNNING`] at a time, and the changes confirmed to operators.
 struct World {
     disk: Rc<RefCell<Disk>>,
     processes: BTreeMap<u64, Store<Memory>>,
     started: u64,
     now_ms: Millis,
-    /// The last call about each machine that was answered yes: when, and whether it is out. What nobody who runs knows
-    /// any more, and no file tells, is no longer owed; nor is it known what holds after a call that was answered no.
-    promised: BTreeMap<&'static str, Promise>,
+    /// The last confirmed change of each machine. A change that neither a running process nor the file knows
+    /// any more need not stay in effect; and after a rejected change either state may be in effect.
+    confirmed: BTreeMap<&'static str, Confirmed>,
 }
 
-/// A call that was answered yes.
+/// A change that was confirmed to an operator.
 #[derive(Clone, Debug)]
-struct Promise {
+struct Confirmed {
     at: BootTime,
-    out: bool,
-    /// Processes that have known of it.
+    excluded: bool,
+    /// Processes that have known the change.
     known_by: BTreeSet<u64>,
 }
 
@@ -185,7 +186,7 @@
             processes: BTreeMap::new(),
             started: 0,
             now_ms: 1e6,
-            promised: BTreeMap::new(),
+            confirmed: BTreeMap::new(),
         };
         world.start();
         world.upkeep_all();
@@ -196,52 +197,53 @@
         ClockReading { boot: BootTime(self.now_ms), unix: UnixTime(1e12) }
     }
 
-    /// Time passes with every step.
+    /// Advances the time, as every step does.
     fn tick(&mut self) -> ClockReading {
         self.now_ms += 1.0;
         self.now()
     }
 
     fn start(&mut self) {
-        if self.processes.len() as u64 >= PLACES {
+        if self.processes.len() as u64 >= MAX_RUNNING {
             return;
         }
         self.started += 1;
-        let me = self.started;
-        self.disk.borrow_mut().alive.insert(me);
-        let folder = Memory { disk: self.disk.clone(), me };
+        let process = self.started;
+        self.disk.borrow_mut().alive.insert(process);
+        let folder = Memory { disk: self.disk.clone(), process };
         let now = self.tick();
-        self.processes.insert(me, Store::new(folder, me, LISTEN, BOOT, now));
-        self.upkeep(me);
+        self.processes.insert(process, Store::new(folder, process, LISTEN, BOOT, now));
+        self.upkeep(process);
     }
 
     fn nth(&self, at: u8) -> Option<u64> {
         self.processes.keys().copied().nth(usize::from(at) % self.processes.len().max(1))
     }
 
-    /// Forgets processes that have died, and what was promised if nobody knows it any more.
-    fn bury(&mut self) {
+    /// Removes processes that have died, and confirmed changes that no process or file knows any more.
+    fn remove_dead(&mut self) {
         let alive = self.disk.borrow().alive.clone();
         self.processes.retain(|process, _| alive.contains(process));
         let file = self.file();
-        for (name, promise) in &mut self.promised {
-            let knows = |store: &Store<Memory>| tells(&store.state, name, promise.at);
+        for (name, change) in &mut self.confirmed {
+            let knows = |store: &Store<Memory>| has_change(&store.state, name, change.at);
             let know: Vec<u64> = self
                 .processes
                 .iter()
                 .filter(|(_, store)| knows(store))
                 .map(|(process, _)| *process)
                 .collect();
-            promise.known_by.extend(know);
+            change.known_by.extend(know);
         }
-        let told = |name: &str, at: BootTime| file.as_ref().is_some_and(|state| tells(state, name, at));
-        // One that has forgotten it while it runs still owes it.
-        let owed =
-            |name: &str, promise: &Promise| !promise.known_by.is_disjoint(&alive) || told(name, promise.at);
-        self.promised.retain(|name, promise| owed(name, promise));
+        let in_file =
+            |name: &str, at: BootTime| file.as_ref().is_some_and(|state| has_change(state, name, at));
+        // A running process that has lost a change it once knew must still apply it.
+        let required =
+            |name: &str, change: &Confirmed| !change.known_by.is_disjoint(&alive) || in_file(name, change.at);
+        self.confirmed.retain(|name, change| required(name, change));
     }
 
-    /// What the file says, if it can be used.
+    /// Decodes the file, if it is usable.
     fn file(&self) -> Option<State> {
         let disk = self.disk.borrow();
         State::decode(disk.file.as_ref()?, LISTEN, BOOT, self.now()).ok()
@@ -251,7 +253,7 @@
         let now = self.tick();
         let Some(store) = self.processes.get_mut(&process) else { return };
         store.maintain(now, false, |_| true);
-        self.bury();
+        self.remove_dead();
     }
 
     fn upkeep_all(&mut self) {
@@ -259,29 +261,33 @@
         all.into_iter().for_each(|process| self.upkeep(process));
     }
 
-    /// An operator's call to a process, and what becomes of its steps in the folder.
-    fn call(&mut self, process: u64, name: &'static str, out: bool, fates: Vec<Fate>) {
+    /// Runs an operator's change in a process, with the outcomes of its steps in the folder.
+    fn call(&mut self, process: u64, name: &'static str, excluded: bool, fates: Vec<Fate>) {
         let now = self.tick();
         self.disk.borrow_mut().fates = fates;
         let Some(store) = self.processes.get_mut(&process) else { return };
-        let answer = store.set_excluded(now, false, name, out);
+        let answer = store.set_excluded(now, false, name, excluded);
         self.disk.borrow_mut().fates.clear();
         match answer {
             Ok(()) => {
                 let file = self.file().expect("it was just written");
-                assert!(tells(&file, name, now.boot), "it is in place before the yes");
+                assert!(
+                    has_change(&file, name, now.boot),
+                    "the change is in the file before it is confirmed"
+                );
                 let known_by = BTreeSet::from([process]);
-                self.promised.insert(name, Promise { at: now.boot, out, known_by });
+                self.confirmed.insert(name, Confirmed { at: now.boot, excluded, known_by });
             }
-            // Nothing is owed for a no: the call may hold all the same, in all of them or none, where its process died.
-            Err(_) if !self.disk.borrow().alive.contains(&process) => drop(self.promised.remove(name)),
+            // A failed change need not be in effect; where its process died, it may be, in all processes or
+            // none.
+            Err(_) if !self.disk.borrow().alive.contains(&process) => drop(self.confirmed.remove(name)),
             Err(_) => {}
         }
-        self.bury();
+        self.remove_dead();
     }
 
-    /// Once nothing fails any more, all that run agree with what was promised.
-    fn settles(&mut self) {
+    /// Checks that all running processes apply the confirmed changes once no step fails any more.
+    fn check_settled(&mut self) {
         for _ in 0..4 {
             self.now_ms += 250.0;
             self.upkeep_all();
@@ -291,19 +297,19 @@
             .values()
             .map(|store| store.state().excluded().names().map(str::to_owned).collect())
             .collect();
-        assert!(known.len() <= 1, "they differ: {known:?}");
+        assert!(known.len() <= 1, "the processes differ: {known:?}");
         for (process, store) in &self.processes {
-            assert!(!store.has_unsaved_changes(), "{process} still owes");
-            for (name, promise) in &self.promised {
-                assert_eq!(store.state().excluded().contains(name), promise.out, "{name} in {process}");
+            assert!(!store.has_unsaved_changes(), "{process} still has unsaved changes");
+            for (name, change) in &self.confirmed {
+                assert_eq!(store.state().excluded().contains(name), change.excluded, "{name} in {process}");
             }
         }
     }
 }
 
-/// Whether a state knows of a call, or of a later one.
-fn tells(state: &State, name: &str, at: BootTime) -> bool {
-    state.calls.get(name).is_some_and(|call| call.at >= at)
+/// Returns whether a state has a change, or a later one of the same machine.
+fn has_change(state: &State, name: &str, at: BootTime) -> bool {
+    state.changes.get(name).is_some_and(|change| change.at >= at)
 }
 
 #[derive(Clone, Debug)]
@@ -320,7 +326,7 @@
 impl Arbitrary for Step {
     fn arbitrary(g: &mut Gen) -> Self {
         let fates = |g: &mut Gen| {
-            // Mostly one step fails.
+            // Usually a single step fails.
             let mut fates = vec![0; usize::arbitrary(g) % 6];
             fates.push(usize::arbitrary(g) % FATES.len());
             fates
@@ -340,9 +346,9 @@
 fn play(world: &mut World, step: Step) {
     let drawn = |fates: Vec<usize>| fates.into_iter().map(|at| FATES[at]).collect::<Vec<Fate>>();
     match step {
-        Step::Call(at, name, out, fates) => {
+        Step::Call(at, name, excluded, fates) => {
             if let Some(process) = world.nth(at) {
-                world.call(process, NAMES[name], out, drawn(fates));
+                world.call(process, NAMES[name], excluded, drawn(fates));
             }
         }
         Step::Upkeep(at, fates) => {
@@ -365,20 +371,20 @@
             }
         }
         Step::TakeAway => world.disk.borrow_mut().file = None,
-        Step::Settle => world.settles(),
+        Step::Settle => world.check_settled(),
     }
-    world.bury();
+    world.remove_dead();
     if world.processes.is_empty() {
         world.start();
     }
 }
 
 #[test]
-fn whatever_fails_and_whoever_dies_a_yes_holds_as_long_as_one_runs_that_knew_of_it() {
+fn confirmed_changes_survive_any_failure_while_a_process_runs_that_knew_them() {
     fn property(steps: Vec<Step>) -> bool {
         let mut world = World::new();
         steps.into_iter().for_each(|step| play(&mut world, step));
-        world.settles();
+        world.check_settled();
         true
     }
     QuickCheck::new()
@@ -388,29 +394,29 @@
 }
 
 #[test]
-fn each_step_of_a_change_may_fail_in_each_way_beside_another_process() {
-    // The lock, the write, its sync, the renaming, the folder's sync; and what the next process does about it.
+fn processes_agree_after_any_single_step_of_a_change_fails() {
+    // The lock, the write, its sync, the rename and the folder's sync; then another process starts.
     for at in 0..5 {
         for fate in FATES {
-            for out in [true, false] {
+            for excluded in [true, false] {
                 let mut world = World::new();
                 world.start();
                 let processes: Vec<u64> = world.processes.keys().copied().collect();
-                world.call(processes[0], NAMES[0], !out, Vec::new());
+                world.call(processes[0], NAMES[0], !excluded, Vec::new());
                 world.upkeep_all();
                 let mut fates = vec![Fate::Done; at];
                 fates.push(fate);
-                world.call(processes[0], NAMES[0], out, fates);
-                world.settles();
+                world.call(processes[0], NAMES[0], excluded, fates);
+                world.check_settled();
                 world.start();
-                world.settles();
+                world.check_settled();
             }
         }
     }
 }
 
 #[test]
-fn one_that_knows_nothing_answers_no_while_another_runs_that_may_know() {
+fn a_process_without_state_rejects_changes_while_another_process_runs() {
     let mut world = World::new();
     let old = world.started;
     world.call(old, NAMES[0], true, Vec::new());
@@ -419,7 +425,7 @@
     let (new, now) = (world.started, world.tick());
     let store = world.processes.get_mut(&new).expect("it runs");
     assert!(matches!(store.set_excluded(now, false, NAMES[1], true), Err(ChangeError::StateUnknown)));
-    // As the other one dies without a word, what the new one knows is all there is.
+    // After the death of the other process, the new one starts from its own state.
     world.disk.borrow_mut().dies(old);
     let now = world.tick();
     let store = world.processes.get_mut(&new).expect("it runs");
@@ -427,7 +433,7 @@
 }
 
 #[test]
-fn what_is_owed_is_written_again_soon_and_not_in_a_rush() {
+fn a_failed_save_is_retried_after_a_short_pause() {
     let mut world = World::new();
     let process = world.started;
     world.call(process, NAMES[0], true, Vec::new());
--- a/src/handover/tests.rs
+++ b/src/handover/tests.rs
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn a_file_is_taken_whole_or_refused_with_its_reason() {
+fn a_file_is_decoded_completely_or_rejected_with_the_reason() {
     let bytes = state().encode(at(1e6)).expect("small");
     let read = |bytes: &[u8], listen| State::decode(bytes, listen, BOOT, at(1e6));
     assert_eq!(read(&bytes, "127.0.0.1:7"), Ok(state()));
@@ -28,17 +28,17 @@
         (MAGIC.len()..bytes.len()).all(|at| read(&bytes[..at], "127.0.0.1:7") == Err(StateError::Corrupt))
     );
     for at in MAGIC.len()..bytes.len() {
-        let mut torn = bytes.clone();
-        torn[at] ^= 4;
-        assert_eq!(read(&torn, "127.0.0.1:7"), Err(StateError::Corrupt), "byte {at}");
+        let mut corrupt = bytes.clone();
+        corrupt[at] ^= 4;
+        assert_eq!(read(&corrupt, "127.0.0.1:7"), Err(StateError::Corrupt), "byte {at}");
     }
-    // As many of the longest names as may be out still find room; what is more isn't written at all.
+    // The maximum number of exclusions fits with the longest names; a larger state is not encoded.
     let mut full = State::new("127.0.0.1:7", BOOT);
     let longest = |at: usize| format!("{at:0>256}");
     while full.set_excluded(7, false, &longest(full.excluded().names().count()), true, BootTime(0.0)).is_ok()
     {
     }
-    for at in 0..MOST_REMEMBERED {
+    for at in 0..MAX_REMEMBERED_INCLUSIONS {
         assert_eq!(full.set_excluded(7, false, &longest(MAX_EXCLUSIONS + at), false, BootTime(0.0)), Ok(()));
     }
     assert_eq!(full.excluded().names().count(), MAX_EXCLUSIONS);
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn a_file_is_as_old_as_the_steady_clock_says_however_the_wall_clock_steps() {
+fn the_age_of_a_file_does_not_depend_on_steps_of_the_wall_clock() {
     let saved = state();
     let bytes = saved.encode(at(1e6)).expect("small");
     for step in [-3_600_000.0, -3000.0, 0.0, 3000.0, 3_600_000.0] {
@@ -64,7 +64,7 @@
     assert!(saved.is_stale("another boot", BootTime(1e6)));
 }
 
-/// A file as version 0.1 wrote it, and as it read one.
+/// The content of a file as version 0.1 writes and reads it.
 type EarlierVersion = (Millis, String, BTreeMap<String, Millis>, BTreeMap<u64, (Millis, bool)>);
 
 fn framed(body: &[u8]) -> Vec<u8> {
@@ -73,17 +73,17 @@
 }
 
 #[test]
-fn a_process_of_an_earlier_version_is_understood_and_understands() {
+fn files_are_exchanged_with_processes_of_an_earlier_version() {
     let now = at(1e6);
-    // It reads what is written now: the names, and ages by the wall clock.
+    // An earlier version reads the names, and ages by the wall clock.
     let bytes = state().encode(now).expect("small");
-    let body = &bytes[HEAD..];
+    let body = &bytes[HEADER_BYTES..];
     let (seen, _): (EarlierVersion, _) =
-        postcard::take_from_bytes(body).expect("it passes over what it doesn't know");
+        postcard::take_from_bytes(body).expect("an earlier version ignores the rest");
     assert_eq!((seen.0, seen.1.as_str()), (now.unix.0, "127.0.0.1:7"));
     assert_eq!(seen.2.keys().collect::<Vec<_>>(), ["s-1", "s-2"]);
     assert_eq!(seen.3.get(&7), Some(&(now.unix.0, false)));
-    // What it writes is the whole truth: a name that it took back is back.
+    // A file of an earlier version is complete: a machine that it does not name is included again.
     let written: EarlierVersion =
         (now.unix.0, "127.0.0.1:7".to_owned(), BTreeMap::from([("s-2".to_owned(), now.unix.0)]), seen.3);
     let bytes = framed(&postcard::to_stdvec(&written).expect("small"));
@@ -92,12 +92,12 @@
     assert!(!own.has_changes_unknown_to(&read));
     own.merge(&read);
     assert_eq!(own.excluded().names().collect::<Vec<_>>(), ["s-2"]);
-    let long_gone = at(1e6 + STALE_AFTER_MS + 1.0);
-    assert_eq!(State::decode(&bytes, "127.0.0.1:7", BOOT, long_gone), Err(StateError::Stale));
+    let expired = at(1e6 + STALE_AFTER_MS + 1.0);
+    assert_eq!(State::decode(&bytes, "127.0.0.1:7", BOOT, expired), Err(StateError::Stale));
 }
 
 #[test]
-fn of_two_states_the_later_call_about_a_machine_wins_whichever_is_merged_into_which() {
+fn merging_keeps_the_later_change_of_a_machine_in_either_direction() {
     fn property(calls: Vec<(bool, u8, bool)>) -> bool {
         let mut both = [State::new("x", BOOT), State::new("x", BOOT)];
         let mut last: BTreeMap<String, bool> = BTreeMap::new();
@@ -122,30 +122,30 @@
 }
 
 #[test]
-fn that_a_machine_was_taken_back_is_remembered_for_long_and_not_for_ever() {
+fn an_inclusion_is_remembered_for_a_limited_time() {
     let mut state = state();
     assert_eq!(state.set_excluded(7, false, "s-1", false, BootTime(2e6)), Ok(()));
-    state.expire(BootTime(2e6 + REMEMBERED_MS), |_| true);
-    assert_eq!(state.calls.len(), 2);
-    state.expire(BootTime(2e6 + REMEMBERED_MS + 1.0), |_| true);
-    assert_eq!(state.calls.keys().collect::<Vec<_>>(), ["s-2"]);
-    for at in 0..2 * MOST_REMEMBERED {
+    state.expire(BootTime(2e6 + INCLUSION_RETENTION_MS), |_| true);
+    assert_eq!(state.changes.len(), 2);
+    state.expire(BootTime(2e6 + INCLUSION_RETENTION_MS + 1.0), |_| true);
+    assert_eq!(state.changes.keys().collect::<Vec<_>>(), ["s-2"]);
+    for at in 0..2 * MAX_REMEMBERED_INCLUSIONS {
         let _ = state.set_excluded(7, false, &format!("t-{at:04}"), false, BootTime(3e6 + at as f64));
     }
     state.expire(BootTime(3e6 + 1000.0), |_| true);
-    assert_eq!(state.calls.len(), 1 + MOST_REMEMBERED);
-    assert!(state.calls.contains_key("t-0511") && !state.calls.contains_key("t-0000"));
+    assert_eq!(state.changes.len(), 1 + MAX_REMEMBERED_INCLUSIONS);
+    assert!(state.changes.contains_key("t-0511") && !state.changes.contains_key("t-0000"));
 }
 
-/// What the words alone tell of whether a process runs.
-fn by_word(_: u64) -> Option<bool> {
+/// A liveness check that knows nothing, so that the age of the entries decides.
+fn unknown_liveness(_: u64) -> Option<bool> {
     None
 }
 
 #[test]
-fn the_cold_budget_is_shared_by_those_that_serve_and_left_by_those_that_end() {
+fn serving_processes_share_the_cold_budget_and_terminating_ones_leave_it() {
     let mut state = State::default();
-    let part = |state: &State, id, at| state.cold_share(id, BootTime(at), by_word);
+    let part = |state: &State, id, at| state.cold_share(id, BootTime(at), unknown_liveness);
     let parts = |state: &State, at| [1, 2, 3].map(|id| part(state, id, at));
     state.record_process(1, false, BootTime(0.0));
     assert_eq!(part(&state, 1, 0.0), 1.0);
@@ -157,35 +157,36 @@
     assert_eq!(parts(&state, 30.0), [0.0, 0.5, 0.5]);
     state.remove_process(3, BootTime(40.0));
     assert_eq!(part(&state, 2, 40.0), 1.0);
-    // A successor that dies leaves the one that ends with what it had; it is noticed by its silence.
+    // When its successor dies, a terminating process gets the budget back, once the successor's entry has
+    // expired.
     assert_eq!(part(&state, 1, 10.0 + PROCESS_TIMEOUT_MS), 0.0);
     assert_eq!(part(&state, 1, 10.1 + PROCESS_TIMEOUT_MS), 1.0);
-    // Or at once, where the system tells; and one that runs and can't say so counts.
+    // A liveness check that knows takes effect at once, also for a process that can't update its entry.
     assert_eq!(state.cold_share(1, BootTime(40.0), |id| Some(id != 2)), 1.0);
     assert_eq!(state.cold_share(1, BootTime(1e6), |_| Some(true)), 0.0);
     for id in 10..40 {
-        state.remove_exited(BootTime(f64::from(id as u32)), by_word);
+        state.remove_exited(BootTime(f64::from(id as u32)), unknown_liveness);
         state.record_process(id, false, BootTime(f64::from(id as u32)));
     }
-    assert_eq!(state.processes.len(), MOST_PROCESSES);
+    assert_eq!(state.processes.len(), MAX_PROCESSES);
     assert!(state.processes.contains_key(&39) && !state.processes.contains_key(&10));
 }
 
 #[test]
-fn whoever_shares_the_budget_never_spends_more_than_all_of_it() {
-    fn property(words: Vec<(u8, bool, u16)>) -> bool {
+fn the_shares_of_the_cold_budget_sum_up_to_at_most_the_whole() {
+    fn property(updates: Vec<(u8, bool, u16)>) -> bool {
         let (mut state, mut now) = (State::default(), 0.0);
-        words.into_iter().all(|(id, ends, later)| {
+        updates.into_iter().all(|(id, terminating, later)| {
             now += f64::from(later % 3000);
-            state.remove_exited(BootTime(now), by_word);
-            state.record_process(u64::from(id % 5), ends, BootTime(now));
-            let serving = |id: &u64| !state.processes[id].ends;
+            state.remove_exited(BootTime(now), unknown_liveness);
+            state.record_process(u64::from(id % 5), terminating, BootTime(now));
+            let serving = |id: &u64| !state.processes[id].terminating;
             let all: Vec<u64> = state.processes.keys().copied().collect();
             let sum = |ids: Vec<u64>| {
-                ids.iter().map(|id| state.cold_share(*id, BootTime(now), by_word)).sum::<f64>()
+                ids.iter().map(|id| state.cold_share(*id, BootTime(now), unknown_liveness)).sum::<f64>()
             };
             let served: Vec<u64> = all.iter().copied().filter(serving).collect();
-            // Those that end with nobody to follow them have it all, each: their requests are the last.
+            // Terminating processes without a successor have the whole budget each: no other requests follow.
             served.is_empty() || (sum(all) - 1.0).abs() < 1e-9 && (sum(served) - 1.0).abs() < 1e-9
         })
     }
@@ -196,7 +197,7 @@
 }
 
 #[test]
-fn no_bytes_make_the_reader_panic() {
+fn decoding_never_panics() {
     fn property(bytes: Vec<u8>) -> bool {
         let _ = State::decode(&bytes, "", BOOT, at(0.0));
         let _ = State::decode(&framed(&bytes), "", BOOT, at(0.0));
--- a/src/ops/control.rs
+++ b/src/ops/control.rs
@@ -1,32 +1,33 @@
-//! The other side of the calls: where they go to, what is written, and what an answer means. No I/O.
+//! The client side of the operators' interface: addresses, encoding of calls and parsing of answers, without
+//! I/O.
 
 use super::Call;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// Bytes of an answer, at most.
+/// The maximum size of an answer in bytes.
 pub const MAX_ANSWER_BYTES: usize = 64 * 1024;
 
-/// Where a router's operators call.
+/// The address at which a router accepts calls of operators.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum OpsAddress {
-    /// Over TCP.
+    /// A TCP address.
     Tcp(SocketAddr),
-    /// Over a Unix socket.
+    /// The path of a Unix socket.
     Unix(PathBuf),
 }
 
 impl std::str::FromStr for OpsAddress {
     type Err = String;
 
-    /// An address and port, or the absolute path of a Unix socket.
+    /// Parses an address and port, or the absolute path of a Unix socket.
     fn from_str(text: &str) -> Result<Self, String> {
         if text.starts_with('/') {
             return Ok(Self::Unix(PathBuf::from(text)));
         }
         text.parse()
             .map(Self::Tcp)
-            .map_err(|_| format!("neither an address with its port nor an absolute path: {text}"))
+            .map_err(|_| format!("neither an address and port nor an absolute path: {text}"))
     }
 }
 
@@ -39,7 +40,7 @@
     }
 }
 
-/// The bytes of a call.
+/// Encodes a call.
 pub fn write(call: &Call) -> Vec<u8> {
     let (method, path, body) = match call {
         Call::Ready => ("GET", "ready", ""),
@@ -55,36 +56,36 @@
         .into_bytes()
 }
 
-/// What came of a call.
+/// The answer to a call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Answer {
-    /// Yes, with what was said beside it.
+    /// Done, or yes, with the body of the answer.
     Accepted(String),
-    /// No: not now, or no such machine.
+    /// Not possible now, no, or no such machine, with the reason.
     Rejected(String),
-    /// It could not be done, or the call was out of form.
+    /// The call failed or is invalid, with the HTTP status and the reason.
     Failed(u16, String),
 }
 
-/// Reads a whole answer, as it stood when the router closed.
+/// Parses a complete answer: all bytes that were received until the router closed the connection.
 pub fn read(bytes: &[u8]) -> Result<Answer, &'static str> {
     let mut headers = [httparse::EMPTY_HEADER; 32];
     let mut head = httparse::Response::new(&mut headers);
     let start = match head.parse(bytes) {
         Ok(httparse::Status::Complete(start)) => start,
-        Ok(httparse::Status::Partial) => return Err("the answer broke off"),
-        Err(_) => return Err("that is no answer of a router"),
+        Ok(httparse::Status::Partial) => return Err("the answer is truncated"),
+        Err(_) => return Err("the answer is not valid HTTP"),
     };
     let status = head.code.unwrap_or(0);
     let length = head.headers.iter().find(|header| header.name.eq_ignore_ascii_case("content-length"));
     let length =
         length.and_then(|header| std::str::from_utf8(header.value).ok()?.trim().parse::<usize>().ok());
     let body = &bytes[start..];
-    let whole = length.is_none_or(|length| body.len() >= length);
+    let complete = length.is_none_or(|length| body.len() >= length);
     let text =
         String::from_utf8_lossy(&body[..length.unwrap_or(body.len()).min(body.len())]).trim().to_owned();
     match status {
-        _ if !whole => Err("the answer broke off"),
+        _ if !complete => Err("the answer is truncated"),
         200..=299 => Ok(Answer::Accepted(text)),
         404 | 503 => Ok(Answer::Rejected(text)),
         _ => Ok(Answer::Failed(status, text)),
--- a/src/ops/control/tests.rs
+++ b/src/ops/control/tests.rs
@@ -2,7 +2,7 @@
 use crate::ops::{self, Refusal, Verdict};
 
 #[test]
-fn each_call_is_read_as_it_was_meant_and_each_verdict_too() {
+fn encoded_calls_and_answers_are_parsed_back() {
     let name = String::from("s-00c41f7a");
     let calls = [
         Call::Ready,
@@ -22,13 +22,13 @@
     }
     assert!(matches!(read(&ops::answer(Ok(Verdict::NotSaved))), Ok(Answer::Failed(500, _))));
     assert!(matches!(read(&ops::answer(Err(Refusal(413, "large")))), Ok(Answer::Failed(413, _))));
-    let whole = ops::answer(Ok(Verdict::Accepted));
-    assert!((0..whole.len()).all(|at| read(&whole[..at]).is_err()), "a part is no answer");
+    let complete = ops::answer(Ok(Verdict::Accepted));
+    assert!((0..complete.len()).all(|at| read(&complete[..at]).is_err()), "a truncated answer is rejected");
     assert!(read(b"-ERR\r\n").is_err());
 }
 
 #[test]
-fn a_place_is_an_address_or_a_path() {
+fn an_operators_address_is_a_socket_address_or_an_absolute_path() {
     assert_eq!("127.0.0.1:9600".parse(), Ok(OpsAddress::Tcp(([127, 0, 0, 1], 9600).into())));
     assert_eq!("/run/a.sock".parse(), Ok(OpsAddress::Unix("/run/a.sock".into())));
     assert!("a.sock".parse::<OpsAddress>().is_err() && "localhost".parse::<OpsAddress>().is_err());
--- a/src/ops/mod.rs
+++ b/src/ops/mod.rs
@@ -1,7 +1,6 @@
-//! Where operators call: HTTP/1.1, one call a connection. Bytes in, a call out; a verdict in, bytes out.
+//! The operators' HTTP/1.1 interface, one call per connection: parses calls and encodes answers, without I/O.
 //!
-//! Owns the form of calls and answers. It never decides: what a call means is [`crate::service`]'s and the
-//! reducer's.
+//! Owns the format of calls and answers only; [`crate::service`] and the reducer execute the calls.
 
 pub mod control;
 mod telemetry;
@@ -9,54 +8,54 @@
 use crate::api::Millis;
 pub use telemetry::{Disposition, FleetStats, Results, Telemetry};
 
-/// Bytes of one call, head and body.
+/// The maximum size of a call in bytes, head and body.
 pub const MAX_CALL_BYTES: usize = 4096;
-/// A call is whole by then, or its caller is let go: callers that connect and say nothing hold nothing up.
+/// The time in which a call must be received, so that silent callers don't occupy connections.
 pub const CALL_TIMEOUT_MS: Millis = 1000.0;
-/// Callers at once; beyond that the one that has waited longest is let go.
+/// The maximum number of connections of callers; beyond it the oldest one is closed.
 pub const MAX_CALLERS: usize = 16;
-/// Bytes of a machine's name.
-const MAX_NAME: usize = 256;
+/// The maximum length of a machine's name in bytes.
+const MAX_NAME_BYTES: usize = 256;
 
-/// What an operator asks for.
+/// A call of an operator.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Call {
-    /// Whether this process is ready to serve.
+    /// Returns whether this process is ready to serve.
     Ready,
-    /// Nothing more to this machine.
+    /// Excludes a machine: nothing more is sent to it.
     Exclude(String),
-    /// It may serve again.
+    /// Includes a machine again.
     Include(String),
-    /// Empty the router.
+    /// Evacuates the router: its clients move to other routers.
     Evacuate,
-    /// Take clients again.
+    /// Accepts clients again after an evacuation.
     Rejoin,
-    /// What it has done so far, and holds now.
+    /// Returns counts since the start and the current state.
     Telemetry,
-    /// Who else routes here: answered without the reducer.
+    /// Returns this router's view of the fleet; answered without the reducer.
     Fleet,
 }
 
-/// How a call is answered.
+/// The result of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// Yes.
+    /// Done, or yes: 200.
     Accepted,
-    /// Not now: 503.
+    /// Not possible now, or no: 503.
     Rejected,
-    /// There is no such machine: 404.
+    /// No machine has this name: 404.
     UnknownMachine,
-    /// As many machines are out as may be: 503.
+    /// The maximum number of machines is excluded: 503.
     TooManyExcluded,
-    /// It could not be saved for the other process, so it doesn't hold here either: 500.
+    /// The change can't be saved for the router's other processes, so it is not in effect here either: 500.
     NotSaved,
 }
 
-/// Why a call can't be taken, as an HTTP status and a reason (RFC 9110, section 15.5).
+/// Why a call is refused, as an HTTP status and a reason (RFC 9110, section 15.5).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Refusal(pub u16, pub &'static str);
 
-/// Reads a call; `None`: it isn't whole yet.
+/// Parses a call; `None` if it is not complete yet.
 pub fn read(bytes: &[u8]) -> Result<Option<Call>, Refusal> {
     if bytes.len() > MAX_CALL_BYTES {
         return Err(Refusal(413, "the call is too large"));
@@ -83,8 +82,8 @@
     let Some(body) = bytes[start..].get(..length) else { return Ok(None) };
     let name = || {
         let text = std::str::from_utf8(body).unwrap_or_default().trim();
-        let good = !text.is_empty() && text.len() <= MAX_NAME && !text.contains(char::is_whitespace);
-        good.then(|| text.to_owned()).ok_or(Refusal(400, "a machine's name is wanted in the body"))
+        let valid = !text.is_empty() && text.len() <= MAX_NAME_BYTES && !text.contains(char::is_whitespace);
+        valid.then(|| text.to_owned()).ok_or(Refusal(400, "a machine's name is wanted in the body"))
     };
     let path = head.path.unwrap_or_default();
     let (wanted, call) = match path.split('?').next().unwrap_or_default() {
@@ -103,9 +102,9 @@
     call.map(Some)
 }
 
-/// An answer's bytes.
+/// Encodes the answer to a call.
 pub fn answer(verdict: Result<Verdict, Refusal>) -> Vec<u8> {
-    let (status, words, reason) = match verdict {
+    let (status, reason_phrase, reason) = match verdict {
         Ok(Verdict::Accepted) => (200, "OK", "yes"),
         Ok(Verdict::Rejected) => (503, "Service Unavailable", "no"),
         Ok(Verdict::UnknownMachine) => (404, "Not Found", "there is no such machine"),
@@ -115,31 +114,35 @@
         }
         Err(Refusal(status, reason)) => (status, "Refused", reason),
     };
-    page(status, words, "text/plain", reason)
+    response(status, reason_phrase, "text/plain", reason)
 }
 
-/// The answer to [`Call::Telemetry`].
+/// Encodes the answer to [`Call::Telemetry`].
 pub fn telemetry_answer(telemetry: &Telemetry) -> Vec<u8> {
-    page(200, "OK", "application/json", &telemetry.json())
+    response(200, "OK", "application/json", &telemetry.json())
 }
 
-/// The answer to [`Call::Fleet`]: the picture, or none where another process of this router speaks; none at all where
-/// the operator's file has no such section.
+/// Encodes the answer to [`Call::Fleet`]. `view` is `None` if the operator's file has no fleet section, and
+/// `Some(None)` if another process of this router takes part in the fleet.
 pub fn fleet_answer(view: Option<Option<crate::fleet::View>>) -> Vec<u8> {
     let text = match view {
-        None => return page(404, "Not Found", "text/plain", "there is no (fleet …) in the operator's file"),
+        None => {
+            return response(404, "Not Found", "text/plain", "there is no (fleet …) in the operator's file")
+        }
         Some(None) => "another process of this router speaks for it".to_owned(),
         Some(Some(view)) => match simd_json::to_string(&view) {
-            Ok(text) => return page(200, "OK", "application/json", &text),
+            Ok(text) => return response(200, "OK", "application/json", &text),
             Err(e) => e.to_string(),
         },
     };
-    page(503, "Service Unavailable", "text/plain", &text)
+    response(503, "Service Unavailable", "text/plain", &text)
 }
 
-fn page(status: u16, words: &str, kind: &str, text: &str) -> Vec<u8> {
-    let head =
-        format!("HTTP/1.1 {status} {words}\r\nContent-Type: {kind}\r\nContent-Length: {}", text.len() + 1);
+fn response(status: u16, reason_phrase: &str, content_type: &str, text: &str) -> Vec<u8> {
+    let head = format!(
+        "HTTP/1.1 {status} {reason_phrase}\r\nContent-Type: {content_type}\r\nContent-Length: {}",
+        text.len() + 1
+    );
     format!("{head}\r\nConnection: close\r\n\r\n{text}\n").into_bytes()
 }
 
--- a/src/ops/telemetry.rs
+++ b/src/ops/telemetry.rs
@@ -1,22 +1,22 @@
-//! What operators are told of a router's work, under the names that they gave.
+//! The telemetry that operators poll, as JSON under the names that their tools expect.
 
 use std::collections::BTreeMap;
 use std::fmt::Write;
 
-/// How a request ended, for its client.
+/// The final result of a request for its client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Disposition {
-    /// Served, whole or by saying that the client's copy is the one.
+    /// Served, with a body or with the confirmation that the client's copy is current.
     Succeeded,
     /// Refused.
     Declined,
-    /// Failed, or its client stopped waiting.
+    /// Failed, or aborted by the client.
     Aborted,
 }
 
 impl Disposition {
-    /// The operators' word.
-    pub fn word(self) -> &'static str {
+    /// Returns the name in the telemetry.
+    pub fn as_str(self) -> &'static str {
         match self {
             Self::Succeeded => "succeeded",
             Self::Declined => "declined",
@@ -25,12 +25,12 @@
     }
 }
 
-/// Requests that ended, by class and how. Bounded by the classes of the settings.
+/// Counts of ended requests by class and disposition; bounded by the number of classes in the settings.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Results(BTreeMap<(String, Disposition), u64>);
 
 impl Results {
-    /// One more.
+    /// Counts one request.
     pub fn count(&mut self, class: &str, how: Disposition) {
         match self.0.iter_mut().find(|((name, disposition), _)| name == class && *disposition == how) {
             Some((_, count)) => *count += 1,
@@ -38,38 +38,38 @@
         }
     }
 
-    fn of(&self, how: Disposition) -> u64 {
+    fn total(&self, how: Disposition) -> u64 {
         self.0.iter().filter(|((_, disposition), _)| *disposition == how).map(|(_, count)| count).sum()
     }
 }
 
-/// What is told: counts since the start, and what holds now.
+/// Counts since the start, and the current state.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Telemetry {
-    /// Requests that ended.
+    /// Ended requests.
     pub results: Results,
-    /// Attempts made.
+    /// Attempts sent.
     pub forwards: u64,
-    /// Requests that are owed an answer now.
+    /// Requests that are waiting for their answer.
     pub outstanding: usize,
-    /// Machines that the board lists and that may serve now.
+    /// Machines that discovery lists and that may serve now.
     pub discovered: usize,
-    /// Of these, those that are left alone since they failed.
+    /// The number of these that are ejected because of failures.
     pub ejected: usize,
-    /// Signals to read the files again that were followed, and those that changed nothing as a file was bad.
+    /// Reloads on SIGHUP: applied ones, and ones rejected because a file is invalid.
     pub reloads: [u64; 2],
-    /// What is told of the fleet, where there is one and this process speaks in it.
+    /// Statistics of the fleet, if this process takes part in one.
     pub fleet: Option<FleetStats>,
 }
 
-/// A router's part in its fleet.
+/// A router's statistics of its fleet.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct FleetStats {
-    /// Its standing, by its word.
+    /// The quorum status by its name.
     pub quorum_status: &'static str,
-    /// Other routers in each state, by its word.
+    /// The number of other routers in each state, by the state's name.
     pub states: Vec<(&'static str, usize)>,
-    /// Datagrams sent, taken, refused, and not sent as the system didn't take them.
+    /// Datagrams sent, accepted, rejected, and not sent because the system call failed.
     pub datagrams: [u64; 4],
 }
 
@@ -79,7 +79,7 @@
         let names = ["sent", "taken", "refused", "unsent"];
         let datagrams = names.iter().zip(self.datagrams).map(|(name, count)| (*name, count));
         for (name, count) in self.states.iter().map(|(name, count)| (*name, *count as u64)).chain(datagrams) {
-            let _ = write!(out, ",\"{name}\":{count}"); // A String takes all that is written to it.
+            let _ = write!(out, ",\"{name}\":{count}"); // Writing to a String can't fail.
         }
         out.push('}');
         out
@@ -87,13 +87,13 @@
 }
 
 impl Telemetry {
-    /// One JSON object. Names are plain words; classes are escaped.
+    /// Encodes the telemetry as one JSON object. Only the class names need escaping.
     pub fn json(&self) -> String {
-        let sum = |how| self.results.of(how);
+        let total = |how| self.results.total(how);
         let figures = [
-            ("succeeded", sum(Disposition::Succeeded)),
-            ("declined", sum(Disposition::Declined)),
-            ("aborted", sum(Disposition::Aborted)),
+            ("succeeded", total(Disposition::Succeeded)),
+            ("declined", total(Disposition::Declined)),
+            ("aborted", total(Disposition::Aborted)),
             ("forwards", self.forwards),
             ("outstanding", self.outstanding as u64),
             ("discovered", self.discovered as u64),
@@ -103,10 +103,14 @@
         ];
         let mut out = String::from("{");
         for (name, value) in figures {
-            let _ = write!(out, "\"svc_{name}\":{value},"); // A String takes all that is written to it.
+            let _ = write!(out, "\"svc_{name}\":{value},"); // Writing to a String can't fail.
         }
         let row = |((class, how), count): (&(String, Disposition), &u64)| {
-            format!("{{\"service\":{},\"disposition\":\"{}\",\"count\":{count}}}", quoted(class), how.word())
+            format!(
+                "{{\"service\":{},\"disposition\":\"{}\",\"count\":{count}}}",
+                quoted(class),
+                how.as_str()
+            )
         };
         let rows: Vec<String> = self.results.0.iter().map(row).collect();
         let _ = write!(out, "\"results\":[{}]", rows.join(","));
@@ -118,16 +122,16 @@
     }
 }
 
-/// A JSON string.
+/// Encodes a JSON string.
 fn quoted(text: &str) -> String {
     let mut out = String::from("\"");
-    for one in text.chars() {
-        match one {
-            '"' | '\\' => out.extend(['\\', one]),
-            one if one.is_control() => {
-                let _ = write!(out, "\\u{:04x}", one as u32);
+    for char in text.chars() {
+        match char {
+            '"' | '\\' => out.extend(['\\', char]),
+            char if char.is_control() => {
+                let _ = write!(out, "\\u{:04x}", char as u32);
             }
-            one => out.push(one),
+            char => out.push(char),
         }
     }
     out.push('"');
--- a/src/ops/telemetry/tests.rs
+++ b/src/ops/telemetry/tests.rs
@@ -2,7 +2,7 @@
 use simd_json::prelude::*;
 
 #[test]
-fn what_is_told_is_json_whose_sums_are_those_of_its_rows() {
+fn telemetry_is_valid_json_whose_totals_match_its_rows() {
     let mut telemetry = Telemetry { forwards: 9, reloads: [2, 1], ..Telemetry::default() };
     let rows = [("page", Disposition::Succeeded), ("page", Disposition::Succeeded)];
     let odd = "a\"b\\c\n\u{1}ñ";
--- a/src/ops/tests.rs
+++ b/src/ops/tests.rs
@@ -2,7 +2,7 @@
 use quickcheck::{Gen, QuickCheck};
 
 #[test]
-fn calls_are_read_whole_wherever_they_are_split_and_refused_precisely() {
+fn calls_are_parsed_once_complete_and_refused_with_the_right_status() {
     let call = b"POST /api/exclude HTTP/1.1\r\nHost: x\r\nContent-Length: 10\r\n\r\ns-00c41f7a";
     assert!((0..call.len()).all(|at| read(&call[..at]) == Ok(None)));
     assert_eq!(read(call), Ok(Some(Call::Exclude("s-00c41f7a".into()))));
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn no_bytes_make_the_reader_panic() {
+fn parsing_never_panics() {
     fn property(bytes: Vec<u8>) -> bool {
         let _ = read(&bytes);
         true
