--- a/src/operator/plugins.rs
+++ b/src/operator/plugins.rs
@@ -1,4 +1,4 @@
-//! The section `(plugins …)`.
+//! Parses the section `(plugins …)`.
 
 use super::form::{Form, Node, Reader};
 use super::head;
@@ -6,9 +6,10 @@
 use std::path::PathBuf;
 
 const WORDS: [&str; 6] = ["file", "settings", "memory", "fuel", "fuel-per-second", "may-refuse"];
-/// A page of WebAssembly memory, and the most that one plug-in may have beside others in 32 MB.
-const MEMORY: [f64; 2] = [65_536.0, 4_194_304.0];
-/// More in one call would hold the event loop for longer than a millisecond.
+/// The range of a plug-in's memory: from one page of WebAssembly memory to 4 MiB, so that several plug-ins
+/// fit into 32 MB.
+const MEMORY_RANGE_BYTES: [f64; 2] = [65_536.0, 4_194_304.0];
+/// The maximum fuel of a call: more could block the event loop for longer than a millisecond.
 const MAX_FUEL: usize = 200_000;
 const MAX_FUEL_PER_S: usize = 100_000_000;
 
@@ -21,40 +22,41 @@
             record = path(reader, value);
             continue;
         }
-        let Some(rest) = reader.headed(part, "plugin") else { continue };
+        let Some(rest) = reader.expect_head(part, "plugin") else { continue };
         let Some((name, rest)) = rest.split_first() else {
-            reader.fault(part.at, "a plug-in's name and its settings are wanted");
+            reader.fault(part.at, "a plug-in's name and its settings are required");
             continue;
         };
         let Some(text) = reader.text(name) else { continue };
         let plain = |byte: u8| byte.is_ascii_alphanumeric() || byte == b'-' || byte == b'_';
         if text.len() > 32 || !text.bytes().all(plain) {
-            reader.fault(name.at, "a name has letters, digits, - and _, 32 at most");
+            reader.fault(name.at, "a name consists of at most 32 letters, digits, - and _");
         }
         if specs.iter().any(|spec| spec.name == text) {
-            reader.fault(name.at, format!("plug-in {text:?} is there twice"));
+            reader.fault(name.at, format!("duplicate plug-in {text:?}"));
         }
         if specs.len() >= MAX_PLUGINS {
             reader.fault(part.at, format!("more than {MAX_PLUGINS} plug-ins"));
             break;
         }
         let mut spec = Spec::new(text, PathBuf::new());
-        one(reader, part, rest, &mut spec);
+        plugin(reader, part, rest, &mut spec);
         specs.push(spec);
     }
     (specs, record)
 }
 
-/// An absolute path.
+/// Parses an absolute path.
 fn path(reader: &mut Reader, value: &Node) -> Option<PathBuf> {
     let text = reader.text(value)?;
     if !text.starts_with('/') {
-        reader.fault(value.at, "an absolute path is wanted");
+        reader.fault(value.at, "an absolute path is required");
     }
     Some(PathBuf::from(text))
 }
 
-fn one(reader: &mut Reader, part: &Node, rest: &[Node], spec: &mut Spec) {
+/// Parses the settings of one plug-in.
+fn plugin(reader: &mut Reader, part: &Node, rest: &[Node], spec: &mut Spec) {
     let mut seen = Vec::new();
     for node in rest {
         let Some((word, values)) = reader.section(node, &WORDS, &mut seen) else { continue };
@@ -65,7 +67,8 @@
             }
             "memory" => {
                 let Some([value]) = reader.exactly(node.at, values) else { continue };
-                spec.memory = reader.bytes(value, MEMORY[0], MEMORY[1]).unwrap_or(spec.memory);
+                spec.memory =
+                    reader.bytes(value, MEMORY_RANGE_BYTES[0], MEMORY_RANGE_BYTES[1]).unwrap_or(spec.memory);
             }
             "fuel" => {
                 let Some([value]) = reader.exactly(node.at, values) else { continue };
@@ -89,22 +92,25 @@
         reader.fault(part.at, "a plug-in needs (file \"/path\")");
     }
     if spec.fuel_per_s < spec.fuel {
-        reader.fault(part.at, "fuel-per-second is less than one call's fuel: it would never be called");
+        reader.fault(
+            part.at,
+            "fuel-per-second is less than the fuel of a call: the plug-in would never be called",
+        );
     }
 }
 
-/// `(name value)`, passed on as it is.
+/// Parses `(name value)`, which is passed to the plug-in as it is.
 fn setting(reader: &mut Reader, node: &Node, spec: &mut Spec) {
     let Some((name, [value])) = head(node) else {
-        return reader.fault(node.at, "(name value) is wanted");
+        return reader.fault(node.at, "(name value) is required");
     };
     let value = match &value.form {
         Form::Word(text) | Form::Text(text) => text.clone(),
         Form::Quantity(number, unit) => format!("{number}{unit}"),
-        _ => return reader.fault(value.at, "a word, text or a number is wanted"),
+        _ => return reader.fault(value.at, "a word, text or a number is required"),
     };
     if value.contains('\n') {
-        return reader.fault(node.at, "a value has one line");
+        return reader.fault(node.at, "a value must not contain line breaks");
     }
     spec.settings.push((name.to_owned(), value));
 }
--- a/src/plugins/advice_filter.rs
+++ b/src/plugins/advice_filter.rs
@@ -1,78 +1,78 @@
-//! The guard: what of an advice the rules allow. What it lets through names only machines that may be chosen and
-//! never widens a limit; the decision module then weighs it within its own order.
+//! Restricts the advice of plug-ins to what the rules allow. The result names only machines that may be
+//! chosen and never relaxes a limit; the decision module then weighs the advice within its own order.
 //!
-//! There is no advice by which a target, an attempt or a copy could be added, a request be held back, or one be
-//! sent again: such words don't exist in the layout.
+//! The interface has no advice that adds a target, an attempt or a copy, delays a request, or sends a request
+//! again.
 
 use crate::api::{Advice, CacheId, ClassSettings, Limits, Repeat, Retention};
-use frostturn_plugin_kit::{advice, Advice as Said, Machine, Malformed};
+use frostturn_plugin_kit::{advice, Advice as Record, Machine, Malformed};
 
-/// The most a machine can be favoured or avoided.
+/// The maximum strength by which a machine is favoured or avoided.
 pub const MAX_STRENGTH: i16 = 100;
-/// Bytes of a label.
-const MAX_LABEL: usize = 32;
-/// A refused client comes back after so long at most, where the settings say nothing.
-const MAX_HOLD_MS: f64 = 5000.0;
+/// The maximum length of a label in bytes.
+const MAX_LABEL_BYTES: usize = 32;
+/// The maximum retry delay of a refused client if the settings give none.
+const DEFAULT_MAX_RETRY_AFTER_MS: f64 = 5000.0;
 
-/// What the rules allow for one request.
+/// What plug-ins may advise for a request.
 #[derive(Clone, Copy, Debug)]
 pub struct Permissions<'a> {
-    /// The machines of the view, all of which serve.
+    /// The names of the machines in the view, all of which serve.
     pub names: &'a [CacheId],
-    /// What the view says of them.
+    /// The machines in the view, in the same order.
     pub machines: &'a [Machine],
     /// The request's class.
     pub class: &'a ClassSettings,
     /// The site's limits.
     pub limits: &'a Limits,
-    /// The operator's file allows this plug-in to refuse this class, and the request is not a repeat, which may
-    /// have run before.
+    /// The operator's file allows this plug-in to refuse this class, and the request is not a repeat: a
+    /// repeat may have been executed before.
     pub may_refuse: bool,
 }
 
 /// Advice that the rules allow.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct FilteredAdvice {
-    /// What the module gets.
+    /// The advice for the decision module.
     pub advice: Advice,
-    /// Names to count under.
+    /// Labels to count.
     pub labels: Vec<String>,
-    /// Pieces that were left out or cut.
+    /// The number of records that were dropped or limited.
     pub restricted: u64,
 }
 
-/// Narrows an advice's bytes.
+/// Decodes advice and restricts it to what is allowed.
 pub fn filter(bytes: &[u8], allowed: &Permissions<'_>) -> Result<FilteredAdvice, Malformed> {
-    let mut narrowed = FilteredAdvice::default();
-    for one in advice(bytes) {
-        if !piece(one?, allowed, &mut narrowed) {
-            narrowed.restricted += 1;
+    let mut filtered = FilteredAdvice::default();
+    for record in advice(bytes) {
+        if !add(record?, allowed, &mut filtered) {
+            filtered.restricted += 1;
         }
     }
-    Ok(narrowed)
+    Ok(filtered)
 }
 
-/// Takes one piece in; false where it was left out or cut.
-fn piece(one: Said<'_>, allowed: &Permissions<'_>, narrowed: &mut FilteredAdvice) -> bool {
-    let advice = &mut narrowed.advice;
-    match one {
-        Said::Favour { machine, strength } => {
+/// Adds one record; returns false if the record was dropped or limited.
+fn add(record: Record<'_>, allowed: &Permissions<'_>, filtered: &mut FilteredAdvice) -> bool {
+    let advice = &mut filtered.advice;
+    match record {
+        Record::Favour { machine, strength } => {
             let at = usize::from(machine);
             let (Some(name), Some(seen)) = (allowed.names.get(at), allowed.machines.get(at)) else {
                 return false;
             };
-            // A cold machine is asked for as much as its budget allows, and nobody draws others to it.
+            // A cold machine gets only what its cold start budget allows: no advice may attract more to it.
             if strength > 0 && seen.warm < 1.0 {
                 return false;
             }
-            let cut = strength.clamp(-MAX_STRENGTH, MAX_STRENGTH);
+            let limited = strength.clamp(-MAX_STRENGTH, MAX_STRENGTH);
             match advice.preferences.iter_mut().find(|(of, _)| of == name) {
-                Some((_, before)) => *before = cut,
-                None => advice.preferences.push((name.clone(), cut)),
+                Some((_, before)) => *before = limited,
+                None => advice.preferences.push((name.clone(), limited)),
             }
-            cut == strength
+            limited == strength
         }
-        Said::Keep(rank) => {
+        Record::Keep(rank) => {
             let keep = match rank {
                 _ if allowed.class.uncached => return false,
                 0 => Retention::NoStore,
@@ -84,46 +84,50 @@
             advice.retention = Some(keep);
             true
         }
-        Said::Oldest(ms) => {
+        Record::Oldest(ms) => {
             let most = allowed.class.fresh_ms.unwrap_or(0.0);
             if allowed.class.uncached || most <= 0.0 {
                 return false;
             }
-            let cut = f64::from(ms).clamp(1.0, most);
-            advice.max_age_ms = Some(advice.max_age_ms.map_or(cut, |before| before.min(cut)));
-            cut == f64::from(ms)
+            let limited = f64::from(ms).clamp(1.0, most);
+            advice.max_age_ms = Some(advice.max_age_ms.map_or(limited, |before| before.min(limited)));
+            limited == f64::from(ms)
         }
-        Said::Attempts(most) => {
-            let cut = usize::from(most).clamp(1, allowed.limits.max_attempts.max(1));
-            advice.max_attempts = Some(advice.max_attempts.map_or(cut, |before| before.min(cut)));
-            cut == usize::from(most)
+        Record::Attempts(most) => {
+            let limited = usize::from(most).clamp(1, allowed.limits.max_attempts.max(1));
+            advice.max_attempts = Some(advice.max_attempts.map_or(limited, |before| before.min(limited)));
+            limited == usize::from(most)
         }
-        Said::Refuse(ms) => {
-            // One that may not be repeated waits for its one attempt.
+        Record::Refuse(ms) => {
+            // A fragile request waits for its only attempt.
             if !allowed.may_refuse || allowed.class.repeat == Repeat::Fragile {
                 return false;
             }
             let limits = allowed.limits;
-            let told = if limits.max_retry_after_ms > 0.0 { limits.max_retry_after_ms } else { MAX_HOLD_MS };
-            let cut = f64::from(ms).min(if limits.retry_after { told } else { 0.0 });
+            let max_ms = if limits.max_retry_after_ms > 0.0 {
+                limits.max_retry_after_ms
+            } else {
+                DEFAULT_MAX_RETRY_AFTER_MS
+            };
+            let limited = f64::from(ms).min(if limits.retry_after { max_ms } else { 0.0 });
             advice.refuse_retry_after_ms =
-                Some(advice.refuse_retry_after_ms.map_or(cut, |before: f64| before.max(cut)));
-            cut == f64::from(ms)
+                Some(advice.refuse_retry_after_ms.map_or(limited, |before: f64| before.max(limited)));
+            limited == f64::from(ms)
         }
-        Said::Label(name) => {
+        Record::Label(name) => {
             let plain = |byte: u8| byte.is_ascii_alphanumeric() || byte == b'_';
-            let good = (1..=MAX_LABEL).contains(&name.len()) && name.bytes().all(plain);
-            if good {
-                narrowed.labels.push(name.to_owned());
+            let valid = (1..=MAX_LABEL_BYTES).contains(&name.len()) && name.bytes().all(plain);
+            if valid {
+                filtered.labels.push(name.to_owned());
             }
-            good
+            valid
         }
     }
 }
 
 impl FilteredAdvice {
-    /// What two plug-ins say of one request: strengths add up, the lowest rank, the youngest copy, the fewest
-    /// attempts, and the longer of two refusals.
+    /// Merges the advice of two plug-ins on a request: the sum of strengths, the lowest rank, the lowest
+    /// maximum age, the fewest attempts, and the longer retry delay of two refusals.
     pub fn merge(mut self, other: Self) -> Self {
         let (own, new) = (&mut self.advice, other.advice);
         for (name, strength) in new.preferences {
--- a/src/plugins/breaker.rs
+++ b/src/plugins/breaker.rs
@@ -1,26 +1,27 @@
-//! A plug-in's breaker: faults in a row pause it, pauses grow, and after too many it stays out.
+//! The circuit breaker of a plug-in: consecutive faults pause it, with growing pauses, and after too many
+//! pauses it is disabled.
 
 use crate::api::Millis;
 
-/// Faults in a row from which it pauses.
-const FAULTS: u32 = 3;
-/// First and longest pause.
+/// Consecutive faults that pause the plug-in.
+const FAULTS_BEFORE_PAUSE: u32 = 3;
+/// The first and the longest pause.
 const PAUSE_MS: [Millis; 2] = [1000.0, 60_000.0];
-/// Pauses after which it stays out until an operator acts.
+/// Pauses after which the plug-in is disabled until an operator reloads it.
 const MAX_PAUSES: u32 = 8;
-/// Good calls after which its pauses begin anew.
-const FORGIVEN: u32 = 10_000;
+/// Successful calls after which the pauses start from the first one again.
+const SUCCESSES_BEFORE_RESET: u32 = 10_000;
 
-/// What may be done with a plug-in.
+/// What a plug-in may be used for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum State {
     /// It is called.
     Closed,
     /// It is not called for a while.
     Paused,
-    /// Its pause is over: it is started afresh and called.
+    /// Its pause is over: it is restarted and called.
     Restart,
-    /// It stays out.
+    /// It is no longer called.
     Disabled,
 }
 
@@ -29,14 +30,14 @@
 pub struct Breaker {
     faults: u32,
     pauses: u32,
-    good: u32,
-    until: Option<Millis>,
+    successes: u32,
+    paused_until: Option<Millis>,
 }
 
 impl Breaker {
-    /// How it stands.
+    /// Returns the state.
     pub fn state(&self, now: Millis) -> State {
-        match self.until {
+        match self.paused_until {
             None => State::Closed,
             Some(f64::INFINITY) => State::Disabled,
             Some(until) if now < until => State::Paused,
@@ -44,25 +45,26 @@
         }
     }
 
-    /// It was started afresh.
+    /// Closes the breaker after a restart.
     pub fn restarted(&mut self) {
-        (self.until, self.faults, self.good) = (None, 0, 0);
+        (self.paused_until, self.faults, self.successes) = (None, 0, 0);
     }
 
-    /// A call went well.
+    /// Records a successful call.
     pub fn record_success(&mut self) {
         self.faults = 0;
-        self.good += 1;
-        if self.good >= FORGIVEN {
-            (self.pauses, self.good) = (0, 0);
+        self.successes += 1;
+        if self.successes >= SUCCESSES_BEFORE_RESET {
+            (self.pauses, self.successes) = (0, 0);
         }
     }
 
-    /// A call failed; the pause that follows, infinite where it stays out, `None` where it goes on.
+    /// Records a failed call. Returns the pause that starts, infinite if the plug-in is now disabled; `None`
+    /// if it may still be called.
     pub fn record_failure(&mut self, now: Millis) -> Option<Millis> {
         self.faults += 1;
-        self.good = 0;
-        if self.faults < FAULTS && self.until.is_none() {
+        self.successes = 0;
+        if self.faults < FAULTS_BEFORE_PAUSE && self.paused_until.is_none() {
             return None;
         }
         self.faults = 0;
@@ -72,7 +74,7 @@
             (PAUSE_MS[0] * f64::from(1 << self.pauses)).min(PAUSE_MS[1])
         };
         self.pauses += 1;
-        self.until = Some(now + pause);
+        self.paused_until = Some(now + pause);
         Some(pause)
     }
 }
--- a/src/plugins/breaker/tests.rs
+++ b/src/plugins/breaker/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn pauses_grow_and_end_in_staying_out() {
+fn pauses_grow_until_the_plug_in_is_disabled() {
     let (mut breaker, mut now, mut pauses) = (Breaker::default(), 0.0, Vec::new());
     while breaker.state(now) != State::Disabled {
         match breaker.state(now) {
@@ -14,12 +14,12 @@
         }
         pauses.extend(breaker.record_failure(now));
     }
-    let grown = [1e3, 2e3, 4e3, 8e3, 16e3, 32e3, 60e3, 60e3, f64::INFINITY];
-    assert_eq!(pauses, grown);
+    let expected = [1e3, 2e3, 4e3, 8e3, 16e3, 32e3, 60e3, 60e3, f64::INFINITY];
+    assert_eq!(pauses, expected);
 }
 
 #[test]
-fn a_fault_now_and_then_does_not_pause_it() {
+fn isolated_faults_do_not_pause_a_plug_in() {
     let mut breaker = Breaker::default();
     for _ in 0..1000 {
         assert_eq!(breaker.record_failure(0.0), None);
--- a/src/plugins/machine_stats.rs
+++ b/src/plugins/machine_stats.rs
@@ -1,36 +1,41 @@
-//! What plug-ins are shown of machines: the caches of this location that serve, with their load and warmth.
+//! The machines that plug-ins see: the serving caches of this location, with their load and warm-up state.
 
 use super::Names;
 use crate::api::{CacheId, LoadReport, MachineKind, Millis, Phase, Settings, Zone};
 use frostturn_plugin_kit::{name_number, Machine, MAX_MACHINES, NEAR};
 use std::collections::BTreeMap;
 
+/// The statistics of one machine.
 #[derive(Clone, Debug)]
-struct Seen {
+struct Stats {
     size: f64,
     started: Option<Millis>,
+    /// The last reported utilization, and when it was reported.
     load: Option<(f64, Millis)>,
-    out: u32,
+    in_flight: u32,
 }
 
-/// The machines that may be chosen. As many as serve here; one that leaves is forgotten.
+/// The machines that may be chosen; a machine that stops serving is removed.
 #[derive(Clone, Debug, Default)]
 pub struct MachineStats {
     zone: Option<Zone>,
-    upper: Vec<MachineKind>,
-    cold: (f64, Millis),
-    seen: BTreeMap<CacheId, Seen>,
+    /// The kinds of the parents and the origin, which plug-ins don't see.
+    upper_kinds: Vec<MachineKind>,
+    /// The share of its capacity that a machine has when it starts, and the duration of the cold start.
+    cold_start: (f64, Millis),
+    machines: BTreeMap<CacheId, Stats>,
 }
 
 impl MachineStats {
-    /// None yet.
+    /// Creates the statistics, without machines.
     pub fn new(settings: &Settings) -> Self {
-        let upper = [&settings.parent_kind, &settings.origin_kind].into_iter().flatten().cloned().collect();
-        let cold = (settings.guarantees.cold_start_share, settings.guarantees.cold_start_ms);
-        Self { zone: settings.zone.clone(), upper, cold, seen: BTreeMap::new() }
+        let upper_kinds =
+            [&settings.parent_kind, &settings.origin_kind].into_iter().flatten().cloned().collect();
+        let cold_start = (settings.guarantees.cold_start_share, settings.guarantees.cold_start_ms);
+        Self { zone: settings.zone.clone(), upper_kinds, cold_start, machines: BTreeMap::new() }
     }
 
-    /// The board has spoken of a machine.
+    /// Applies a machine's entry in the discovery's list.
     pub fn update(
         &mut self,
         name: &CacheId,
@@ -40,49 +45,50 @@
         size: f64,
         started: Option<Millis>,
     ) {
-        let here = self.zone.as_ref().is_none_or(|own| own == zone) && !self.upper.contains(kind);
-        if phase != Phase::Serving || !here {
-            self.seen.remove(name);
+        let visible = self.zone.as_ref().is_none_or(|own| own == zone) && !self.upper_kinds.contains(kind);
+        if phase != Phase::Serving || !visible {
+            self.machines.remove(name);
             return;
         }
-        let seen = self.seen.entry(name.clone()).or_insert(Seen { size, started, load: None, out: 0 });
-        (seen.size, seen.started) = (size, started);
+        let stats =
+            self.machines.entry(name.clone()).or_insert(Stats { size, started, load: None, in_flight: 0 });
+        (stats.size, stats.started) = (size, started);
     }
 
-    /// A machine is gone.
+    /// Removes a machine.
     pub fn remove(&mut self, name: &CacheId) {
-        self.seen.remove(name);
+        self.machines.remove(name);
     }
 
-    /// An attempt goes there.
+    /// Counts an attempt that is sent to a machine.
     pub fn attempt_started(&mut self, name: &CacheId) {
-        if let Some(seen) = self.seen.get_mut(name) {
-            seen.out += 1;
+        if let Some(stats) = self.machines.get_mut(name) {
+            stats.in_flight += 1;
         }
     }
 
-    /// One has ended, perhaps with a report.
+    /// Counts an attempt that ended, and records the load report if it has one.
     pub fn attempt_ended(&mut self, now: Millis, name: &CacheId, report: &LoadReport) {
-        if let Some(seen) = self.seen.get_mut(name) {
-            seen.out = seen.out.saturating_sub(1);
-            seen.load = report.util.map(|util| (util, now)).or(seen.load);
+        if let Some(stats) = self.machines.get_mut(name) {
+            stats.in_flight = stats.in_flight.saturating_sub(1);
+            stats.load = report.util.map(|util| (util, now)).or(stats.load);
         }
     }
 
-    /// The machines and their names, in one order.
+    /// Returns the machines and their names, in the same order.
     pub fn machines(&self, now: Millis) -> (Vec<Machine>, Names) {
-        let (from, span) = self.cold;
-        let shown = self.seen.iter().take(MAX_MACHINES);
-        let machine = |(name, seen): (&CacheId, &Seen)| {
-            let age = seen.started.map_or(f64::INFINITY, |at| (now - at).max(0.0));
-            let warm = if age < span { from + (1.0 - from) * age / span } else { 1.0 };
+        let (initial, duration_ms) = self.cold_start;
+        let shown = self.machines.iter().take(MAX_MACHINES);
+        let machine = |(name, stats): (&CacheId, &Stats)| {
+            let age = stats.started.map_or(f64::INFINITY, |at| (now - at).max(0.0));
+            let warm = if age < duration_ms { initial + (1.0 - initial) * age / duration_ms } else { 1.0 };
             let machine = Machine {
                 name: name_number(name.as_str()),
-                load: seen.load.map(|(util, _)| util as f32),
-                age_ms: seen.load.map(|(_, at)| (now - at) as f32),
+                load: stats.load.map(|(util, _)| util as f32),
+                age_ms: stats.load.map(|(_, at)| (now - at) as f32),
                 warm: warm as f32,
-                in_flight: seen.out,
-                size: seen.size as f32,
+                in_flight: stats.in_flight,
+                size: stats.size as f32,
                 flags: NEAR,
             };
             (machine, name.clone())
--- a/src/plugins/mod.rs
+++ b/src/plugins/mod.rs
@@ -1,9 +1,10 @@
-//! Plug-ins: WebAssembly modules of the operators' own that give advice on routing.
+//! Plug-ins: WebAssembly programs of the operators that give advice on routing.
 //!
-//! Owns the instances with their budgets and breakers, what they are shown ([`machine_stats`]), and the narrowing of what
-//! they say ([`advice_filter`]). It never sends, refuses or holds back anything by itself: advice is an input of the
-//! decision module's request, and the module decides. No files and no clock: programs come in as bytes, time as
-//! an argument, and metering counts instructions, so that equal inputs give equal advice.
+//! Owns the instances with their fuel budgets and breakers, the data that they see ([`machine_stats`]) and
+//! the filter of their advice ([`advice_filter`]). A plug-in never sends, refuses or delays a request by
+//! itself: advice is an input of the decision module, which decides. There is no access to files or clocks:
+//! programs are passed in as bytes and times as arguments, and metering counts instructions, so that equal
+//! inputs give equal advice.
 
 pub mod advice_filter;
 pub mod breaker;
@@ -24,36 +25,36 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-/// Plug-ins that may be loaded.
+/// The maximum number of plug-ins.
 pub const MAX_PLUGINS: usize = 8;
-/// Views that are kept for trials of new versions.
+/// The number of views that are kept for rehearsals of new versions.
 pub const MAX_RECORDED_VIEWS: usize = 256;
-/// Names under which one plug-in may count.
+/// The maximum number of labels that a plug-in may count.
 const MAX_LABELS: usize = 32;
-/// Time between two ticks.
+/// The interval between ticks.
 pub const TICK_INTERVAL_MS: Millis = 1000.0;
 
-/// What the operator's file says of one plug-in.
+/// The settings of one plug-in in the operator's file.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Spec {
-    /// Its name, in lines and counters.
+    /// The name in log lines and counters.
     pub name: String,
-    /// Its program: WebAssembly, as bytes or text.
+    /// The WebAssembly program, as binary or text.
     pub file: PathBuf,
-    /// What it is told at its start, a line `name value` each.
+    /// The names and values that are passed to `init`, as lines `name value`.
     pub settings: Vec<(String, String)>,
-    /// Bytes of memory it may have.
+    /// The maximum size of its memory in bytes.
     pub memory: usize,
-    /// Instructions of one call.
+    /// The fuel for one call, about one unit per instruction.
     pub fuel: u64,
-    /// Instructions a second, saved up for one second.
+    /// The fuel per second, accumulated for at most one second.
     pub fuel_per_s: u64,
-    /// Classes of which it may have requests refused.
+    /// The classes whose requests it may refuse.
     pub may_refuse: Vec<String>,
 }
 
 impl Spec {
-    /// One with the usual budgets.
+    /// Returns settings with the default budgets.
     pub fn new(name: &str, file: PathBuf) -> Self {
         Self {
             name: name.to_owned(),
@@ -66,35 +67,35 @@
         }
     }
 
-    /// The bytes that `init` is given.
+    /// Returns the text that is passed to `init`.
     pub fn settings_text(&self) -> String {
         self.settings.iter().map(|(name, value)| format!("{name} {value}\n")).collect()
     }
 }
 
-/// A program that is ready: compiled, started, and told its settings.
+/// A plug-in whose program is compiled, started and initialized.
 #[derive(Debug)]
 pub struct Loaded {
-    /// What it was loaded by.
+    /// Its settings.
     pub spec: Spec,
-    /// Its program, to start it afresh.
+    /// Its program, for restarts.
     pub program: Arc<[u8]>,
     instance: Instance,
 }
 
 impl Loaded {
-    /// Compiles and starts a program.
+    /// Compiles, starts and initializes a program.
     pub fn new(spec: Spec, program: Arc<[u8]>) -> Result<Self, Fault> {
         let instance = Instance::new(&program, &spec)?;
         Ok(Self { spec, program, instance })
     }
 
-    /// Runs recorded views through it; the first fault, if there is one.
+    /// Runs the request hook on recorded views. Fails on the first fault.
     pub fn rehearse(&mut self, views: &[Vec<u8>]) -> Result<(), Fault> {
         for view in views {
-            let (said, _) = self.instance.call(Hook::Request, view, self.spec.fuel);
-            if let Some(bytes) = said? {
-                if kit::advice(&bytes).any(|one| one.is_err()) {
+            let (advice, _) = self.instance.call(Hook::Request, view, self.spec.fuel);
+            if let Some(bytes) = advice? {
+                if kit::advice(&bytes).any(|record| record.is_err()) {
                     return Err(Fault::Malformed);
                 }
             }
@@ -102,58 +103,59 @@
         Ok(())
     }
 
-    /// Its instance, for measurements.
+    /// Returns the instance, for measurements.
     pub fn instance(&mut self) -> &mut Instance {
         &mut self.instance
     }
 }
 
-/// What one plug-in has done.
+/// Counts of one plug-in since it was first loaded.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
     /// Calls of all hooks.
     pub calls: u64,
-    /// Those of `request` that gave advice.
+    /// Calls of `request` that gave advice.
     pub advised: u64,
-    /// Pieces of advice that the guard left out or cut.
+    /// Records of advice that the filter dropped or limited.
     pub narrowed: u64,
     /// Calls that ended with a fault.
     pub faults: u64,
-    /// Calls left out, as it was paused or its second's budget was spent.
+    /// Calls skipped because the plug-in was paused or its fuel per second was used up.
     pub skipped: u64,
-    /// Starts afresh.
+    /// Restarts after a pause.
     pub restarts: u64,
-    /// Lines it logged.
+    /// Logged lines.
     pub lines: u64,
-    /// Counted under its own names.
+    /// Counts by the labels of its advice.
     pub labels: BTreeMap<String, u64>,
 }
 
+/// A loaded plug-in with its breaker and counts.
 #[derive(Debug)]
 struct Slot {
     loaded: Loaded,
     breaker: Breaker,
-    /// Instructions that may still be spent, and when that was counted.
+    /// The fuel that may still be used, and when it was last computed.
     fuel: (f64, Millis),
     counts: Counts,
 }
 
-/// What a request is, for the view of it.
+/// The properties of a request that its view shows.
 #[derive(Clone, Debug)]
 pub struct RequestInfo<'a> {
-    /// Its class, a place in the settings.
+    /// The index of its class in the settings.
     pub class: usize,
-    /// The object's name.
+    /// The name of the object.
     pub object: Option<&'a str>,
-    /// The part.
+    /// The piece of the object.
     pub piece: u64,
-    /// The group.
+    /// The purge group.
     pub group: u64,
-    /// The size.
+    /// The size of the object.
     pub size_kb: Option<f64>,
-    /// Time left.
+    /// The time until the answer deadline.
     pub time_left_ms: Millis,
-    /// Its client marked it as a repeat.
+    /// Whether the client marked it as a repeat.
     pub repeat: bool,
 }
 
@@ -170,7 +172,7 @@
 }
 
 impl Plugins {
-    /// None yet.
+    /// Creates an empty set of plug-ins.
     pub fn new(settings: &Settings) -> Self {
         Self {
             slots: Vec::new(),
@@ -183,74 +185,75 @@
         }
     }
 
-    /// Takes in what was loaded, in this order. Of one that was there already the counts go on; its breaker is
-    /// closed anew, as an operator has acted. `kept` names those that stay as they are.
+    /// Replaces the plug-ins by those named in `order`: by the newly loaded version, or else by the present
+    /// one. A new version keeps the counts of the old one and starts with a closed breaker, as an operator
+    /// has acted.
     pub fn replace(&mut self, now: Millis, order: &[String], mut loaded: Vec<Loaded>) {
         let mut old: Vec<Slot> = std::mem::take(&mut self.slots);
         for name in order.iter().take(MAX_PLUGINS) {
-            let was =
+            let previous =
                 old.iter().position(|slot| slot.loaded.spec.name == *name).map(|at| old.swap_remove(at));
             let new = loaded.iter().position(|one| one.spec.name == *name).map(|at| loaded.swap_remove(at));
-            match (new, was) {
-                (Some(new), was) => {
+            match (new, previous) {
+                (Some(new), previous) => {
                     let fuel = (new.spec.fuel_per_s as f64, now);
-                    let counts = was.map_or_else(Counts::default, |slot| slot.counts);
+                    let counts = previous.map_or_else(Counts::default, |slot| slot.counts);
                     self.slots.push(Slot { loaded: new, breaker: Breaker::default(), fuel, counts });
                 }
-                (None, Some(was)) => self.slots.push(was),
+                (None, Some(previous)) => self.slots.push(previous),
                 (None, None) => {}
             }
         }
     }
 
-    /// Whether there is none.
+    /// Returns whether there are no plug-ins.
     pub fn is_empty(&self) -> bool {
         self.slots.is_empty()
     }
 
-    /// The latest views, for trials of new versions.
+    /// Returns the latest views, for rehearsals of new versions.
     pub fn recorded_views(&self) -> Vec<Vec<u8>> {
         self.views.iter().cloned().collect()
     }
 
-    /// Lines for the operators since the last time.
+    /// Takes the log lines since the last call.
     pub fn take_lines(&mut self) -> Vec<String> {
         std::mem::take(&mut self.lines)
     }
 
-    /// What each has done.
+    /// Returns the name and counts of each plug-in.
     pub fn counts(&self) -> impl Iterator<Item = (&str, &Counts)> {
         self.slots.iter().map(|slot| (slot.loaded.spec.name.as_str(), &slot.counts))
     }
 
-    /// When [`Plugins::tick`] is due.
+    /// Returns when [`Plugins::tick`] must run next.
     pub fn next_tick_at(&self) -> Option<Millis> {
         (!self.is_empty()).then_some(self.tick_at)
     }
 
-    /// Asks each plug-in about a request. Strengths add up, ranks and limits take the lowest, a refusal of one
-    /// is one of all.
+    /// Calls the request hook of each plug-in and merges the advice: strengths are added, the lowest ranks
+    /// and limits apply, and a single refusal is enough.
     pub fn request(
         &mut self,
         now: Millis,
-        about: &RequestInfo<'_>,
-        watch: &MachineStats,
+        info: &RequestInfo<'_>,
+        stats: &MachineStats,
     ) -> Option<Box<Advice>> {
         let classes = self.classes.clone();
-        let class = classes.get(about.class)?;
+        let class = classes.get(info.class)?;
         let fragile = class.repeat != Repeat::Retryable;
-        let (machines, names) = watch.machines(now);
+        let (machines, names) = stats.machines(now);
         let mut flags = if fragile { kit::FRAGILE } else { 0 };
-        flags |= if about.repeat { kit::REPEAT } else { 0 };
-        flags |= if about.object.is_some() { kit::OBJECT } else { 0 };
+        flags |= if info.repeat { kit::REPEAT } else { 0 };
+        flags |= if info.object.is_some() { kit::OBJECT } else { 0 };
         let head = kit::ViewHead {
             flags,
-            class: about.class as u16,
-            object: about.object.map_or(0, kit::name_number),
-            piece: about.piece,
-            group: about.group as u32,
-            size_kb: about.size_kb.unwrap_or(0.0) as f32,
-            time_left_ms: about.time_left_ms.max(0.0) as u32,
+            class: info.class as u16,
+            object: info.object.map_or(0, kit::name_number),
+            piece: info.piece,
+            group: info.group as u32,
+            size_kb: info.size_kb.unwrap_or(0.0) as f32,
+            time_left_ms: info.time_left_ms.max(0.0) as u32,
             now_ms: now as u64,
             machine: kit::NONE,
             ..kit::ViewHead::default()
@@ -268,56 +271,56 @@
                 machines: &machines,
                 class,
                 limits: &self.limits,
-                may_refuse: may_refuse && !about.repeat,
+                may_refuse: may_refuse && !info.repeat,
             };
             match advice_filter::filter(&bytes, &allowed) {
-                Ok(narrowed) => {
+                Ok(filtered) => {
                     slot.breaker.record_success();
                     slot.counts.advised += 1;
-                    slot.counts.narrowed += narrowed.restricted;
-                    for label in &narrowed.labels {
+                    slot.counts.narrowed += filtered.restricted;
+                    for label in &filtered.labels {
                         if slot.counts.labels.len() < MAX_LABELS || slot.counts.labels.contains_key(label) {
                             *slot.counts.labels.entry(label.clone()).or_default() += 1;
                         }
                     }
                     merged = Some(match merged {
-                        Some(before) => before.merge(narrowed),
-                        None => narrowed,
+                        Some(before) => before.merge(filtered),
+                        None => filtered,
                     });
                 }
                 Err(kit::Malformed) => self.fault(now, at, &Fault::Malformed),
             }
         }
         if self.views.len() >= MAX_RECORDED_VIEWS {
-            // The oldest one's room is used again.
+            // Reuse the buffer of the oldest view.
             self.buffer = self.views.pop_front().unwrap_or_default();
         }
         self.views.push_back(view);
         merged.map(|merged| Box::new(merged.advice)).filter(|advice| **advice != Advice::default())
     }
 
-    /// Tells each how an attempt ended.
+    /// Calls each outcome hook when an attempt has ended.
     pub fn outcome(
         &mut self,
         now: Millis,
         result: &AttemptResult,
-        about: &RequestInfo<'_>,
-        watch: &MachineStats,
+        info: &RequestInfo<'_>,
+        stats: &MachineStats,
     ) {
         if !self.slots.iter().any(|slot| slot.loaded.instance.has(Hook::Outcome)) {
             return;
         }
-        let (machines, names) = watch.machines(now);
-        let place = names.iter().position(|name| *name == result.cache);
+        let (machines, names) = stats.machines(now);
+        let position = names.iter().position(|name| *name == result.cache);
         let head = kit::ViewHead {
-            class: about.class as u16,
-            object: about.object.map_or(0, kit::name_number),
-            flags: if about.object.is_some() { kit::OBJECT } else { 0 },
-            piece: about.piece,
-            group: about.group as u32,
+            class: info.class as u16,
+            object: info.object.map_or(0, kit::name_number),
+            flags: if info.object.is_some() { kit::OBJECT } else { 0 },
+            piece: info.piece,
+            group: info.group as u32,
             attempt: result.attempt as u16,
             outcome: outcome_number(result.outcome),
-            machine: place.map_or(kit::NONE, |at| at as u16),
+            machine: position.map_or(kit::NONE, |at| at as u16),
             note: match result.cache_status {
                 Some(CacheStatus::Hit | CacheStatus::Stale) => 1,
                 Some(CacheStatus::Filled | CacheStatus::FilledFromOrigin | CacheStatus::Joined) => 2,
@@ -327,26 +330,27 @@
             now_ms: now as u64,
             ..kit::ViewHead::default()
         };
-        self.tell(now, Hook::Outcome, &head, &machines);
+        self.notify(now, Hook::Outcome, &head, &machines);
     }
 
-    /// Tells each that the list of machines has changed.
-    pub fn machines(&mut self, now: Millis, watch: &MachineStats) {
+    /// Calls each machines hook when the list of machines has changed.
+    pub fn machines(&mut self, now: Millis, stats: &MachineStats) {
         let head = kit::ViewHead { machine: kit::NONE, now_ms: now as u64, ..kit::ViewHead::default() };
-        self.tell(now, Hook::Machines, &head, &watch.machines(now).0);
+        self.notify(now, Hook::Machines, &head, &stats.machines(now).0);
     }
 
-    /// A second has passed.
+    /// Calls each tick hook if [`TICK_INTERVAL_MS`] have passed.
     pub fn tick(&mut self, now: Millis) {
         if now < self.tick_at {
             return;
         }
         self.tick_at = now + TICK_INTERVAL_MS;
         let head = kit::ViewHead { machine: kit::NONE, now_ms: now as u64, ..kit::ViewHead::default() };
-        self.tell(now, Hook::Tick, &head, &[]);
+        self.notify(now, Hook::Tick, &head, &[]);
     }
 
-    fn tell(&mut self, now: Millis, hook: Hook, head: &kit::ViewHead, machines: &[kit::Machine]) {
+    /// Calls a hook without a result in each plug-in.
+    fn notify(&mut self, now: Millis, hook: Hook, head: &kit::ViewHead, machines: &[kit::Machine]) {
         let mut view = Vec::with_capacity(kit::HEAD + machines.len() * kit::MACHINE);
         head.write(machines, &mut view);
         for at in 0..self.slots.len() {
@@ -354,7 +358,7 @@
         }
     }
 
-    /// Calls one hook of one plug-in within its budgets; `None`: it wasn't called, or it failed.
+    /// Calls a hook of one plug-in within its budgets; `None` if it was not called, or if the call failed.
     fn call(&mut self, now: Millis, at: usize, hook: Hook, view: &[u8]) -> Option<Option<Vec<u8>>> {
         let slot = &mut self.slots[at];
         if !slot.loaded.instance.has(hook) {
@@ -383,27 +387,27 @@
         }
         let slot = &mut self.slots[at];
         let spec = &slot.loaded.spec;
-        let most = spec.fuel_per_s as f64;
-        let saved = (slot.fuel.0 + most * (now - slot.fuel.1).max(0.0) / 1e3).min(most);
-        slot.fuel = (saved, now);
-        if saved < spec.fuel as f64 {
+        let max_fuel = spec.fuel_per_s as f64;
+        let available = (slot.fuel.0 + max_fuel * (now - slot.fuel.1).max(0.0) / 1e3).min(max_fuel);
+        slot.fuel = (available, now);
+        if available < spec.fuel as f64 {
             slot.counts.skipped += 1;
             return None;
         }
         slot.counts.calls += 1;
-        let (said, used) = slot.loaded.instance.call(hook, view, spec.fuel);
-        slot.fuel.0 -= used as f64;
+        let (result, fuel_used) = slot.loaded.instance.call(hook, view, spec.fuel);
+        slot.fuel.0 -= fuel_used as f64;
         for line in slot.loaded.instance.take_lines() {
             slot.counts.lines += 1;
             self.lines.push(format!("plug-in {}: {line}", spec.name));
         }
-        match said {
-            Ok(said) => {
-                // Advice may yet turn out not to be readable.
-                if said.is_none() {
+        match result {
+            Ok(advice) => {
+                // Advice counts as a success only once it is decoded.
+                if advice.is_none() {
                     slot.breaker.record_success();
                 }
-                Some(said)
+                Some(advice)
             }
             Err(fault) => {
                 self.fault(now, at, &fault);
@@ -412,7 +416,7 @@
         }
     }
 
-    /// A plug-in has failed: it may have to pause.
+    /// Counts and logs a fault of a plug-in, and pauses or disables the plug-in after too many.
     fn fault(&mut self, now: Millis, at: usize, fault: &Fault) {
         let slot = &mut self.slots[at];
         slot.counts.faults += 1;
@@ -420,7 +424,7 @@
         match slot.breaker.record_failure(now) {
             None => self.lines.push(format!("plug-in {name}: {fault}")),
             Some(f64::INFINITY) => {
-                self.lines.push(format!("plug-in {name} stays out until its file is read anew: {fault}"));
+                self.lines.push(format!("plug-in {name} is disabled until it is reloaded: {fault}"));
             }
             Some(pause) => {
                 self.lines.push(format!("plug-in {name} is left out for {pause:.0} ms: {fault}"));
@@ -429,6 +433,7 @@
     }
 }
 
+/// Returns the number of an outcome in the view.
 fn outcome_number(outcome: Outcome) -> u16 {
     match outcome {
         Outcome::Ok => 0,
@@ -443,5 +448,5 @@
     }
 }
 
-/// Names of machines in the order of a view.
+/// The names of machines in the order of a view.
 pub type Names = Vec<CacheId>;
--- a/tests/ci.rs
+++ b/tests/ci.rs
@@ -1,21 +1,22 @@
-//! What the project's checks make of KNOWN-RED.txt, with a stand-in for cargo that says what it is told to.
+//! The project's check scripts: how they apply KNOWN-RED.txt, run with a fake cargo, and the layering check.
 
 use std::os::unix::fs::PermissionsExt;
 use std::path::{Path, PathBuf};
 use std::process::Command;
 
-/// The tests that the stand-in has: two of one name among them, and one whose name holds another's.
+/// The tests of the fake cargo. One name is contained in another; the script adds a name that occurs twice.
 const TESTS: [&str; 5] = ["one", "one_more", "two", "three", "a::three"];
 
-/// A tree whose tests `failing` fail, with this list; whether the checks pass, and what they print.
+/// Runs the checks on a tree with this list of known failures in which the tests `failing` fail. Returns
+/// whether the checks pass, and their output.
 fn checks(test: &str, list: Option<&str>, failing: &[&str]) -> (bool, String) {
     let tree: PathBuf = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("ci-{test}"));
-    let _ = std::fs::remove_dir_all(&tree); // There may be none from an earlier run.
+    let _ = std::fs::remove_dir_all(&tree); // It exists only after an earlier run.
     std::fs::create_dir(&tree).expect("made");
     if let Some(list) = list {
         std::fs::write(tree.join("KNOWN-RED.txt"), list).expect("written");
     }
-    // It lists its tests, or runs them: all but the skipped ones, or the exact one that it is given.
+    // The fake cargo lists its tests, or runs all but the skipped ones, or the one given by --exact.
     let script = format!(
         r#"#!/usr/bin/env bash
         all="{all} four four"; failing=" {failing} "
@@ -51,20 +52,23 @@
 const ONE: &str = "one | it is so | issue 29\n";
 
 #[test]
-fn without_a_list_every_failure_fails() {
+fn without_a_list_every_failing_test_fails_the_checks() {
     assert!(checks("none", None, &[]).0);
     assert!(checks("empty", Some(""), &[]).0);
     assert!(!checks("failure", None, &["two"]).0);
 }
 
 #[test]
-fn exactly_the_named_tests_are_passed_over_run_and_printed() {
+fn exactly_the_listed_tests_may_fail_and_are_still_run_and_printed() {
     let (passed, text) = checks("named", Some(ONE), &["one"]);
     assert!(passed, "{text}");
     assert!(text.contains("known red: one | it is so | issue 29"), "{text}");
     assert!(text.contains("one FAILED") && text.contains("known red, failed: one"), "{text}");
-    assert!(!checks("other", Some(ONE), &["one", "two"]).0, "any other failure");
-    assert!(!checks("holds", Some(ONE), &["one", "one_more"]).0, "also one whose name only holds it");
+    assert!(!checks("other", Some(ONE), &["one", "two"]).0, "another test fails");
+    assert!(
+        !checks("holds", Some(ONE), &["one", "one_more"]).0,
+        "a name that contains a listed name is not listed"
+    );
     let (passed, text) = checks("green", Some(ONE), &[]);
     assert!(passed && text.contains("passes now, take its line out: one"), "{text}");
     let three = format!("{ONE}two | it is so | issue 30\na::three | it is so | issue 29\n");
@@ -72,7 +76,7 @@
 }
 
 #[test]
-fn a_fourth_line_a_name_that_is_no_test_and_a_line_out_of_form_fail() {
+fn a_fourth_line_an_unknown_test_and_a_malformed_line_fail_the_checks() {
     let four: String = ["one", "two", "three", "a::three"].map(|name| ONE.replacen("one", name, 1)).concat();
     let (passed, text) = checks("four", Some(&four), &["one"]);
     assert!(!passed && text.contains("three at most"), "{text}");
@@ -88,10 +92,10 @@
     }
 }
 
-/// A tree with one decision module of this text; whether `.ci/layers` passes it.
+/// Runs `.ci/layers` on a tree with one decision module of this text. Returns whether it passes.
 fn layers(test: &str, policy: &str) -> bool {
     let tree: PathBuf = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("layers-{test}"));
-    let _ = std::fs::remove_dir_all(&tree); // There may be none from an earlier run.
+    let _ = std::fs::remove_dir_all(&tree); // It exists only after an earlier run.
     std::fs::create_dir_all(tree.join("src/policy")).expect("made");
     std::fs::write(tree.join("src/policy/one.rs"), policy).expect("written");
     let script = concat!(env!("CARGO_MANIFEST_DIR"), "/.ci/layers");
@@ -99,7 +103,7 @@
 }
 
 #[test]
-fn the_decision_module_may_use_the_api_alone_and_neither_clock_nor_socket() {
+fn the_decision_module_may_use_only_the_api_and_no_clock_or_io() {
     assert!(layers("good", "//! Decides one thing.\nuse crate::api::Millis;\n"));
     assert!(layers("sibling", "//! Decides one thing.\nuse crate::policy::health::Health;\n"));
     for (test, line) in [
@@ -113,5 +117,5 @@
         assert!(!layers(test, &format!("//! Decides one thing.\n{line}\n")), "{line}");
     }
     assert!(!layers("wall-clock", "//! Decides one thing.\nlet at = UNIX_EPOCH;\n"), "the wall clock");
-    assert!(!layers("head", "use crate::api::Millis;\n"), "it doesn't say what it decides");
+    assert!(!layers("head", "use crate::api::Millis;\n"), "a missing module comment");
 }
--- a/tests/operator.rs
+++ b/tests/operator.rs
@@ -1,4 +1,4 @@
-//! The operator's file: what is good, what is refused and where, and that no bytes upset the reader.
+//! The operator's file: valid files, the position and reason of each fault, and arbitrary bytes.
 
 use frostturn::addresses::{Endpoint, Family};
 use frostturn::operator::OperatorConfig;
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn the_annotated_example_is_good_and_says_what_it_seems_to() {
+fn the_annotated_example_is_valid_and_has_the_documented_settings() {
     let text = include_bytes!("../deploy/operator.example.scm");
     let operator = OperatorConfig::read(text).expect("good");
     let plugins: Vec<(&str, usize)> =
@@ -22,34 +22,34 @@
     let rules = operator.addresses.expect("on");
     assert_eq!(rules.family_order, [Family::Unix, Family::Ipv6, Family::Ipv4]);
     assert_eq!((rules.attempt_delay_ms, rules.pause_ms), ((20.0, 80.0), (250.0, 30_000.0)));
-    let ways = &rules.machines["s-00c41f7a"];
-    assert_eq!(ways.iter().map(Endpoint::family).collect::<Vec<_>>(), rules.family_order);
+    let endpoints = &rules.machines["s-00c41f7a"];
+    assert_eq!(endpoints.iter().map(Endpoint::family).collect::<Vec<_>>(), rules.family_order);
     assert_eq!(
         OperatorConfig::read(b"(frostturn)"),
         Ok(OperatorConfig::default()),
-        "nothing is on by itself"
+        "no section is enabled by default"
     );
 }
 
 #[test]
-fn every_bad_file_is_refused_with_place_and_reason() {
+fn every_invalid_file_is_rejected_with_position_and_reason() {
     for (text, wanted) in [
         ("", vec!["1:1: one form"]),
         ("(frostturn) (again)", vec!["1:13: one form"]),
-        ("(frostturn (addresses)", vec!["1:22: can't be read: EOF"]),
+        ("(frostturn (addresses)", vec!["1:22: invalid syntax: EOF"]),
         ("(frost)", vec!["1:1: (frostturn"]),
-        ("(frostturn\n (adresses))", vec!["2:3: unknown word \"adresses\"; is addresses meant?"]),
-        ("(frostturn (zzz))", vec!["1:13: unknown word \"zzz\"; known are addresses, fleet, ops, plugins"]),
-        ("(frostturn (addresses) (addresses))", vec!["1:25: addresses is there twice"]),
+        ("(frostturn\n (adresses))", vec!["2:3: unknown word \"adresses\"; did you mean addresses?"]),
+        ("(frostturn (zzz))", vec!["1:13: unknown word \"zzz\"; known words: addresses, fleet, ops, plugins"]),
+        ("(frostturn (addresses) (addresses))", vec!["1:25: duplicate addresses"]),
         ("(frostturn (addresses (order ipv6 ipv5)))", vec!["1:35: unknown word \"ipv5\""]),
         ("(frostturn (addresses (order)))", vec!["1:23: at least one"]),
-        ("(frostturn (addresses (order unix unix)))", vec!["1:35: this family is there twice"]),
+        ("(frostturn (addresses (order unix unix)))", vec!["1:35: duplicate address family"]),
         ("(frostturn (addresses (pause 250 2s)))", vec!["1:30: a time with its unit"]),
         ("(frostturn (addresses (pause 250 ms)))", vec!["1:30: a time with its unit", "1:34: a time"]),
-        ("(frostturn (addresses (pause 2s 250ms)))", vec!["1:30: the least is more"]),
-        ("(frostturn (addresses (attempt-delay 1ms)))", vec!["1:38: must lie between 10ms and 2000ms"]),
-        ("(frostturn (addresses (dials-per-machine 3)))", vec!["1:42: breaks the rule on cold boxes"]),
-        ("(frostturn (addresses (dials 0.5)))", vec!["1:30: a whole number from 1"]),
+        ("(frostturn (addresses (pause 2s 250ms)))", vec!["1:30: the minimum is greater"]),
+        ("(frostturn (addresses (attempt-delay 1ms)))", vec!["1:38: must be between 10ms and 2000ms"]),
+        ("(frostturn (addresses (dials-per-machine 3)))", vec!["1:42: violates the limit for cold machines"]),
+        ("(frostturn (addresses (dials 0.5)))", vec!["1:30: an integer from 1"]),
         ("(frostturn (addresses (machine \"a\")))", vec!["1:23: a machine has 1 to 7 endpoints"]),
         ("(frostturn (addresses (machine \"a\" (tcp \"nowhere:1\"))))", vec!["1:41: an address and port"]),
         ("(frostturn (addresses (machine \"a\" (unix \"box.sock\"))))", vec!["1:42: an absolute path"]),
@@ -58,29 +58,29 @@
         ("(frostturn (fleet (name \"n\") (listen \"127.0.0.1:0\")))", vec!["1:38: an address and port"]),
         (
             "(frostturn (fleet (name \"n\") (listen \"127.0.0.1:1\") (peer \"a\" \"127.0.0.1:2\")\n(peer \"a\" \"127.0.0.1:3\")))",
-            vec!["2:7: peer \"a\" is there twice"],
+            vec!["2:7: duplicate peer \"a\""],
         ),
         (
             "(frostturn (fleet (name \"n\") (listen \"127.0.0.1:1\") (peer \"a\" \"127.0.0.1:2\")\n(peer \"b\" \"127.0.0.1:2\")))",
-            vec!["2:11: peers b and a have one address"],
+            vec!["2:11: peers b and a have the same address"],
         ),
         (
             "(frostturn (fleet (name \"n\") (listen \"127.0.0.1:1\") (peer \"a\" \"127.0.0.1:1\")))",
-            vec!["1:38: peer a is reached where this router itself listens"],
+            vec!["1:38: peer a has the address on which this router listens"],
         ),
         (
             "(frostturn (fleet (name \"n\") (listen \"127.0.0.1:1\") (suspicion 5s 4s)))",
-            vec!["1:53: the least suspicion is longer"],
+            vec!["1:53: the minimum suspicion is greater"],
         ),
         (
             "(frostturn (fleet (name \"n\") (listen \"127.0.0.1:1\") (period 2s) (suspicion 5s 9s)))",
             vec!["1:12: a suspicion of 5000ms is too short for a period of 2000ms"],
         ),
-        ("(frostturn (ops))", vec!["1:12: (unix \"/path\") is wanted"]),
-        ("(frostturn (ops (unix \"a.sock\")))", vec!["1:23: an absolute path of 90 bytes"]),
+        ("(frostturn (ops))", vec!["1:12: (unix \"/path\") is required"]),
+        ("(frostturn (ops (unix \"a.sock\")))", vec!["1:23: an absolute path of at most 90 bytes"]),
         ("(frostturn (ops (tcp \"127.0.0.1:1\")))", vec!["1:18: unknown word \"tcp\""]),
         ("(frostturn (plugins (plugin \"a\")))", vec!["1:21: a plug-in needs (file"]),
-        ("(frostturn (plugins (plugin \"a b\" (file \"/x\"))))", vec!["1:29: a name has letters"]),
+        ("(frostturn (plugins (plugin \"a b\" (file \"/x\"))))", vec!["1:29: a name consists of at most 32 letters"]),
         ("(frostturn (plugins (plugin \"a\" (file \"x\"))))", vec!["1:39: an absolute path"]),
         (
             "(frostturn (plugins (plugin \"a\" (file \"/x\") (memory 64))))",
@@ -88,11 +88,11 @@
         ),
         (
             "(frostturn (plugins (plugin \"a\" (file \"/x\") (memory 9mb))))",
-            vec!["1:53: must lie between 64kb"],
+            vec!["1:53: must be between 64kb"],
         ),
         (
             "(frostturn (plugins (plugin \"a\" (file \"/x\") (fuel 1))))",
-            vec!["1:51: a whole number from 100"],
+            vec!["1:51: an integer from 100"],
         ),
         (
             "(frostturn (plugins (plugin \"a\" (file \"/x\") (may-refuse page))))",
@@ -100,15 +100,15 @@
         ),
         (
             "(frostturn (plugins (plugin \"a\" (file \"/x\")) (plugin \"a\" (file \"/x\"))))",
-            vec!["1:54: plug-in \"a\" is there twice"],
+            vec!["1:54: duplicate plug-in \"a\""],
         ),
         (
             "(frostturn (addresses (order unix) (machine \"a\" (tcp \"[::1]:1\"))))",
-            vec!["1:1: [::1]:1 of a is of a family that the order leaves out"],
+            vec!["1:1: [::1]:1 of a has an address family that the order does not include"],
         ),
         (
             "(frostturn (addresses (machine \"a\" (tcp \"[::1]:1\"))\n(machine \"b\" (tcp \"[::1]:1\"))))",
-            vec!["2:14: breaks the rule on drains"],
+            vec!["2:14: violates the drain rule"],
         ),
     ] {
         let found = faults(text);
@@ -120,14 +120,14 @@
 }
 
 #[test]
-fn all_faults_come_in_one_go_and_in_order() {
+fn all_faults_are_reported_together_in_order() {
     let found = faults("(frostturn\n (addresses\n  (ordr)\n  (pause 1)\n  (dials -1)))");
     let places: Vec<&str> = found.iter().map(|fault| &fault[..3]).collect();
     assert_eq!(places, ["3:4", "4:1", "5:1"], "{found:?}");
 }
 
 #[test]
-fn no_bytes_make_the_reader_panic_hang_or_nest_without_bound() {
+fn parsing_never_panics_hangs_or_recurses_without_bound() {
     fn bytes(bytes: Vec<u8>) -> bool {
         let _ = OperatorConfig::read(&bytes);
         true
--- a/tests/plugins.rs
+++ b/tests/plugins.rs
@@ -1,4 +1,5 @@
-//! Plug-ins, good and hostile, on the engine, the guard and the whole reducer. Seeded; time is made up.
+//! Valid and hostile plug-ins on the engine, the advice filter and the whole reducer, with seeded inputs and
+//! simulated time.
 
 mod common;
 
@@ -12,7 +13,7 @@
 use frostturn::reducer::{
     Answer, AttemptEnd, Effect, IncomingRequest, Input, Progress, Reducer, Reply, RequestKey,
 };
-use frostturn_plugin_kit::{self as kit, Advice as Said, Machine, ViewHead};
+use frostturn_plugin_kit::{self as kit, Advice as Record, Machine, ViewHead};
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 use std::collections::BTreeMap;
 use std::path::PathBuf;
@@ -22,7 +23,7 @@
     Spec { settings, ..Spec::new("test", PathBuf::new()) }
 }
 
-/// A program with this body of `request` and these further fields.
+/// Returns a program with this body of `request` and these further fields.
 fn program(request: &str, more: &str) -> String {
     format!(
         r#"(module (memory (export "memory") 1) (global (export "frostturn_version") i32 (i32.const 1))
@@ -38,8 +39,8 @@
 }
 
 fn advice_of(instance: &mut Instance, view: &[u8]) -> Vec<String> {
-    let (said, _) = instance.call(Hook::Request, view, 20_000);
-    let bytes = said.expect("no fault").unwrap_or_default();
+    let (advice, _) = instance.call(Hook::Request, view, 20_000);
+    let bytes = advice.expect("no fault").unwrap_or_default();
     kit::advice(&bytes).map(|one| format!("{:?}", one.expect("readable"))).collect()
 }
 
@@ -49,24 +50,24 @@
 const NEW: &str = include_str!("../examples/plugins/new.wat");
 
 #[test]
-fn photos_are_favoured_at_the_box_that_served_them_from_what_it_held() {
+fn photos_are_favoured_at_the_machine_that_served_them() {
     let mut photos = Instance::new(PHOTOS.as_bytes(), &spec(&[("group", "12")])).expect("good");
     let machines = [Machine { name: 0xa, ..Machine::default() }, Machine { name: 0xb, ..Machine::default() }];
     let head = ViewHead { group: 12, object: 77, machine: 1, note: 1, ..ViewHead::default() };
-    assert!(advice_of(&mut photos, &view(&machines, head)).is_empty(), "nothing is known yet");
+    assert!(advice_of(&mut photos, &view(&machines, head)).is_empty(), "no outcome is known yet");
     photos.call(Hook::Outcome, &view(&machines, ViewHead { outcome: 3, ..head }), 20_000).0.expect("well");
     assert!(advice_of(&mut photos, &view(&machines, head)).is_empty(), "it was not served");
     photos.call(Hook::Outcome, &view(&machines, head), 20_000).0.expect("well");
-    // The box stands elsewhere in the next view.
+    // The machine has another position in the next view.
     let turned = [machines[1], machines[0]];
     assert_eq!(advice_of(&mut photos, &view(&turned, head)), ["Favour { machine: 0, strength: 60 }"]);
     assert!(advice_of(&mut photos, &view(&turned, ViewHead { group: 11, ..head })).is_empty());
-    assert!(advice_of(&mut photos, &view(&turned[1..], head)).is_empty(), "it is gone");
+    assert!(advice_of(&mut photos, &view(&turned[1..], head)).is_empty(), "the machine is no longer listed");
     assert!(matches!(Instance::new(PHOTOS.as_bytes(), &spec(&[])), Err(Fault::InitFailed(1))));
 }
 
 #[test]
-fn videos_keep_off_small_boxes_in_a_busy_hour_and_a_full_branch_refuses_early() {
+fn examples_avoid_small_machines_under_load_and_refuse_early_when_all_are_full() {
     let mut small = Instance::new(SMALL.as_bytes(), &spec(&[("class", "2")])).expect("good");
     let machine = |load, size| Machine { load, size, ..Machine::default() };
     let head = ViewHead { class: 2, ..ViewHead::default() };
@@ -84,13 +85,16 @@
 }
 
 #[test]
-fn what_cannot_be_a_plug_in_is_refused_with_a_reason() {
+fn invalid_programs_are_rejected_with_a_reason() {
     let start = |text: &str| Instance::new(text.as_bytes(), &spec(&[])).map(|_| ()).unwrap_err().to_string();
     for (text, reason) in [
         ("(module", "expected"),
         ("no module at all", "expected"),
-        ("(module)", "no global frostturn_version"),
-        (&program("(i64.const 0)", "").replace("(i32.const 1))", "(i32.const 2))"), "it is of version 2"),
+        ("(module)", "no exported global frostturn_version"),
+        (
+            &program("(i64.const 0)", "").replace("(i32.const 1))", "(i32.const 2))"),
+            "interface version 2 is not supported",
+        ),
         (&program("(i64.const 0)", "").replace("4096", "65000"), "no room"),
         (&program("(i64.const 0)", r#"(import "env" "open" (func))"#), "import"),
         (&program("(i64.const 0)", "(func $s (unreachable)) (start $s)"), "unreachable"),
@@ -107,7 +111,8 @@
     }
 }
 
-/// Programs that mean harm, and how one call of `request` ends.
+/// Hostile programs, each with the result of a call of `request`: whether it gives advice, or a part of the
+/// fault's text.
 fn hostile() -> Vec<(&'static str, String, Result<bool, &'static str>)> {
     let random = |bytes: &str| {
         let more = format!(r#"(data (i32.const 0) "{bytes}")"#);
@@ -142,24 +147,24 @@
 }
 
 #[test]
-fn hostile_programs_end_within_their_budgets_each_in_its_way() {
-    for (name, text, wanted) in hostile() {
+fn hostile_programs_end_within_their_budgets() {
+    for (name, text, expected) in hostile() {
         let mut instance =
             Instance::new(text.as_bytes(), &spec(&[])).unwrap_or_else(|e| panic!("{name}: {e}"));
         for _ in 0..3 {
-            let (said, used) = instance.call(Hook::Request, &view(&[], ViewHead::default()), 20_000);
-            assert!(used <= 20_000, "{name} took {used}");
-            match (&said, wanted) {
-                (Ok(said), Ok(some)) => assert_eq!(said.is_some(), some, "{name}"),
+            let (advice, fuel_used) = instance.call(Hook::Request, &view(&[], ViewHead::default()), 20_000);
+            assert!(fuel_used <= 20_000, "{name} used {fuel_used}");
+            match (&advice, expected) {
+                (Ok(advice), Ok(some)) => assert_eq!(advice.is_some(), some, "{name}"),
                 (Err(fault), Err(word)) => assert!(fault.to_string().contains(word), "{name}: {fault}"),
                 other => panic!("{name}: {other:?}"),
             }
-            assert!(instance.take_lines().len() <= 5, "lines are paid for");
+            assert!(instance.take_lines().len() <= 5, "log lines cost fuel");
         }
     }
 }
 
-/// Any bytes, and pieces of advice that can be read.
+/// Advice that mixes arbitrary bytes and valid records.
 #[derive(Clone, Debug)]
 struct AnyAdvice(Vec<u8>);
 
@@ -168,13 +173,13 @@
         let mut out = Vec::new();
         for _ in 0..u8::arbitrary(g) % 12 {
             match u8::arbitrary(g) % 8 {
-                0 | 1 => Said::Favour { machine: u16::arbitrary(g) % 8, strength: i16::arbitrary(g) }
+                0 | 1 => Record::Favour { machine: u16::arbitrary(g) % 8, strength: i16::arbitrary(g) }
                     .write(&mut out),
-                2 => Said::Keep(u8::arbitrary(g) % 6).write(&mut out),
-                3 => Said::Oldest(u32::arbitrary(g)).write(&mut out),
-                4 => Said::Attempts(u16::arbitrary(g) % 9).write(&mut out),
-                5 => Said::Refuse(u32::arbitrary(g)).write(&mut out),
-                6 => Said::Label("a_label").write(&mut out),
+                2 => Record::Keep(u8::arbitrary(g) % 6).write(&mut out),
+                3 => Record::Oldest(u32::arbitrary(g)).write(&mut out),
+                4 => Record::Attempts(u16::arbitrary(g) % 9).write(&mut out),
+                5 => Record::Refuse(u32::arbitrary(g)).write(&mut out),
+                6 => Record::Label("a_label").write(&mut out),
                 _ => out.extend(Vec::<u8>::arbitrary(g)),
             }
         }
@@ -183,7 +188,7 @@
 }
 
 #[test]
-fn the_guard_names_only_allowed_machines_and_widens_no_limit() {
+fn filtered_advice_names_only_allowed_machines_and_relaxes_no_limit() {
     fn property(one: AnyAdvice, other: AnyAdvice, kind: u8, cold: u8, most: u8) -> bool {
         let names: Vec<CacheId> = (0..5).map(|at| CacheId::from(format!("m{at}").as_str())).collect();
         let machine =
@@ -224,7 +229,7 @@
         .quickcheck(property as fn(AnyAdvice, AnyAdvice, u8, u8, u8) -> bool);
 }
 
-/// A router with a list of machines, driven by hand.
+/// A reducer with a list of machines, driven step by step.
 struct Rig {
     reducer: Reducer,
     now: f64,
@@ -291,7 +296,7 @@
         }
     }
 
-    /// Asks for an object; where its first attempt went, if anywhere.
+    /// Requests an object. Returns the machine of the first attempt, if there is one.
     fn ask(&mut self, class: &str, object: u64) -> Option<String> {
         self.next += 1;
         let client = RequestKey { conn: 1, serial: self.next };
@@ -308,7 +313,7 @@
         self.out.values().find(|(of, _)| *of == client).map(|(_, member)| member.clone())
     }
 
-    /// All that is out ends so.
+    /// Ends all attempts in flight with `end`.
     fn end_all(&mut self, end: &AttemptEnd) {
         for attempt in self.out.keys().copied().collect::<Vec<_>>() {
             self.out.remove(&attempt);
@@ -330,23 +335,23 @@
     })
 }
 
-/// Favours the machine at this place.
+/// Returns a program that favours the machine at this position.
 fn favours(place: u16, strength: i16) -> String {
-    let mut said = Vec::new();
-    Said::Favour { machine: place, strength }.write(&mut said);
-    let bytes: String = said.iter().map(|byte| format!("\\{byte:02x}")).collect();
+    let mut records = Vec::new();
+    Record::Favour { machine: place, strength }.write(&mut records);
+    let bytes: String = records.iter().map(|byte| format!("\\{byte:02x}")).collect();
     program("(i64.const 8)", &format!(r#"(data (i32.const 0) "{bytes}")"#))
 }
 
 #[test]
-fn a_favoured_box_is_taken_while_the_rules_allow_it_and_never_when_they_do_not() {
+fn a_favoured_machine_is_chosen_only_while_the_rules_allow_it() {
     let mut rig = Rig::new(&[("one", favours(2, 80))], &[]);
     for object in 0..20 {
-        assert_eq!(rig.ask("read", object).as_deref(), Some("e2"), "places are those of the view");
+        assert_eq!(rig.ask("read", object).as_deref(), Some("e2"), "positions refer to the view");
         rig.end_all(&done());
         rig.now += 50.0;
     }
-    // It drains: the place is another's now, and the draining one gets nothing whatever is said.
+    // While the machine drains, it gets nothing, and its position belongs to another machine.
     rig.list(false, vec![listed("e2", "edge", Phase::Draining)]);
     for object in 0..20 {
         assert_ne!(rig.ask("read", object).as_deref(), Some("e2"));
@@ -356,36 +361,40 @@
     let mut avoided = Rig::new(&[("one", favours(0, -80)), ("two", favours(1, -80))], &[]);
     for object in 0..20 {
         let went = avoided.ask("read", object);
-        assert!(matches!(went.as_deref(), Some("e2" | "e3")), "{went:?}: both are heard");
+        assert!(
+            matches!(went.as_deref(), Some("e2" | "e3")),
+            "{went:?}: the advice of both plug-ins applies"
+        );
         avoided.end_all(&done());
         avoided.now += 50.0;
     }
 }
 
 #[test]
-fn nothing_that_is_said_sends_a_fragile_request_twice_or_refuses_it() {
-    let mut said = Vec::new();
-    Said::Refuse(100).write(&mut said);
-    Said::Attempts(60_000).write(&mut said);
-    Said::Favour { machine: 1, strength: 100 }.write(&mut said);
-    let bytes: String = said.iter().map(|byte| format!("\\{byte:02x}")).collect();
-    let text = program(&format!("(i64.const {})", said.len()), &format!(r#"(data (i32.const 0) "{bytes}")"#));
+fn no_advice_sends_a_fragile_request_twice_or_refuses_it() {
+    let mut records = Vec::new();
+    Record::Refuse(100).write(&mut records);
+    Record::Attempts(60_000).write(&mut records);
+    Record::Favour { machine: 1, strength: 100 }.write(&mut records);
+    let bytes: String = records.iter().map(|byte| format!("\\{byte:02x}")).collect();
+    let text =
+        program(&format!("(i64.const {})", records.len()), &format!(r#"(data (i32.const 0) "{bytes}")"#));
     let mut rig = Rig::new(&[("two", text)], &["fragile", "read"]);
     for object in 0..50 {
-        assert!(rig.ask("fragile", object).is_some(), "it isn't refused");
+        assert!(rig.ask("fragile", object).is_some(), "a fragile request is not refused");
         rig.end_all(&AttemptEnd::Lost(Progress::WrittenWhole));
         rig.now += 20.0;
     }
-    assert!(rig.attempts.values().all(|attempts| *attempts == 1), "it may have run");
+    assert!(rig.attempts.values().all(|attempts| *attempts == 1), "a fragile request may have been executed");
     assert_eq!(rig.replies.len(), 50);
-    // What may be refused is, at once, with the time to come back where the settings allow one.
+    // A request that may be refused is refused at once, with a retry delay if the settings allow one.
     assert_eq!(rig.ask("read", 99), None);
     let last = rig.replies.values().last().and_then(|replies| replies.first());
     assert!(matches!(last, Some(Reply::Refused { .. })), "{last:?}");
 }
 
 #[test]
-fn every_request_beside_hostile_plug_ins_gets_exactly_one_answer() {
+fn every_request_gets_exactly_one_answer_despite_hostile_plug_ins() {
     for (name, text, _) in hostile() {
         let mut rig = Rig::new(&[("bad", text), ("good", favours(1, 50))], &[]);
         for object in 0..200 {
@@ -398,7 +407,7 @@
         assert_eq!(served, 200, "{name}");
         let (_, counts) = rig.reducer.plugins().expect("they are there").counts().next().expect("the first");
         if counts.faults > 0 {
-            // Three in a row, then longer and longer pauses, each time begun afresh.
+            // Three consecutive faults, then growing pauses, each followed by a restart.
             assert!(counts.faults < 40 && counts.skipped > 100, "{name}: {counts:?}");
             assert!(rig.lines.iter().any(|line| line.contains("is left out for")), "{name}: {:?}", rig.lines);
         }
@@ -406,8 +415,8 @@
 }
 
 #[test]
-fn a_second_takes_no_more_than_its_budget_and_the_rest_goes_on_without_advice() {
-    // Just under one call's budget, at every call.
+fn requests_beyond_the_fuel_per_second_are_served_without_advice() {
+    // Each call uses slightly less than the fuel of a call.
     let text = program(
         "(local $n i32) (local.set $n (i32.const 7000)) (loop (br_if 0 (local.tee $n (i32.sub (local.get $n) (i32.const 1))))) (i64.const 0)",
         "",
@@ -424,7 +433,7 @@
 }
 
 #[test]
-fn a_new_version_takes_over_at_once_and_one_that_fails_its_rehearsal_does_not() {
+fn a_new_version_takes_over_at_once_unless_its_rehearsal_fails() {
     let mut rig = Rig::new(&[("one", favours(0, 80))], &[]);
     for object in 0..20 {
         assert_eq!(rig.ask("read", object).as_deref(), Some("e0"));
@@ -434,7 +443,7 @@
     let views = rig.reducer.plugins().expect("there").recorded_views();
     assert_eq!(views.len(), 20);
     let load = |text: String| Loaded::new(Spec::new("one", PathBuf::new()), text.as_bytes().into());
-    // Traps on the views of objects over 10 alone.
+    // Traps only on views of objects above 10.
     let late = program(
         "(if (i64.gt_u (i64.load (i32.const 4112)) (i64.const 10)) (then (unreachable))) (i64.const 0)",
         "",
@@ -447,5 +456,5 @@
     rig.end_all(&done());
     assert_eq!(rig.ask("read", 2).as_deref(), Some("e3"));
     rig.reducer.set_plugins(rig.now, &[], Vec::new());
-    assert!(rig.reducer.plugins().is_none(), "off is off");
+    assert!(rig.reducer.plugins().is_none(), "no plug-ins are left");
 }
