--- a/crates/frostturn-lab/build.rs
+++ b/crates/frostturn-lab/build.rs
@@ -1,5 +1,5 @@
-//! Compiles the library that a daemon under test is started with (`crates/frostturn-shims`), so that the laboratory
-//! carries it and needs no second build command.
+//! Compiles the fault-injection library (`crates/frostturn-shims`), which the laboratory embeds, so that no
+//! second build command is needed.
 
 use std::path::PathBuf;
 use std::process::Command;
@@ -13,5 +13,5 @@
     rustc.args(["--edition", "2021", "--crate-type", "cdylib", "--crate-name", "frostturn_shims"]);
     rustc.args(["-C", "opt-level=2", "-C", "panic=abort"]);
     let built = rustc.arg(source.join("lib.rs")).arg("-o").arg(&library).status();
-    assert!(built.is_ok_and(|status| status.success()), "the preloaded library can't be built");
+    assert!(built.is_ok_and(|status| status.success()), "cannot build the preloaded library");
 }
--- a/crates/frostturn-lab/src/scenarios/photos.rs
+++ b/crates/frostturn-lab/src/scenarios/photos.rs
@@ -67,7 +67,7 @@
     while leaves.0 + AWAY_MS < seconds * 1e3 {
         let (at, one) = leaves;
         sleep_until(at);
-        // Announcement before it goes: what is out there is finished, and nothing new comes.
+        // The departure is announced first: open requests finish and no new ones arrive.
         site.announce_status(one, Status::Left, None);
         sleep_until(at + AWAY_MS);
         site.boxes[one].endpoints.iter().for_each(|endpoint| endpoint.fail(Failure::None));
--- a/crates/frostturn-lab/src/scenarios/soak/mod.rs
+++ b/crates/frostturn-lab/src/scenarios/soak/mod.rs
@@ -54,7 +54,7 @@
 /// One router's processes.
 struct Slot {
     current: Option<Daemon>,
-    /// Announcement to end, and not the current one any more.
+    /// The old process of an upgrade, which is no longer the current one.
     ending: Option<Daemon>,
     /// SIGTERM has been sent, so that a second signal doesn't delay the kill.
     told: bool,
--- a/crates/frostturn-lab/src/scenarios/soak/schedule.rs
+++ b/crates/frostturn-lab/src/scenarios/soak/schedule.rs
@@ -38,7 +38,7 @@
     /// All addresses of a box fail in this manner, and work again.
     Fail(usize, Failure),
     Heal(usize),
-    /// The discovery says that an endpoint leaves.
+    /// The discovery service announces that a box is leaving.
     Leave(usize),
 }
 
--- a/crates/frostturn-lab/tests/clients.rs
+++ b/crates/frostturn-lab/tests/clients.rs
@@ -1,4 +1,5 @@
-//! The laboratory's own clients against a router that closes connections: what they count as lost must be the router's doing.
+//! Tests the laboratory's clients against a router that closes connections: they must not count requests as
+//! lost that they sent themselves on a closed connection.
 
 use frostturn::fastcgi::{self, kind, Decoder};
 use frostturn_lab::clients;
@@ -12,18 +13,18 @@
 use std::thread::{self, JoinHandle};
 use std::time::{Duration, Instant};
 
-/// How long the test waits for a state before it fails.
+/// Time limit for an expected state.
 const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
 fn until(what: &str, mut holds: impl FnMut() -> bool) {
     let from = Instant::now();
     while !holds() {
-        assert!(from.elapsed() < WAIT_TIMEOUT, "waited in vain: {what}");
+        assert!(from.elapsed() < WAIT_TIMEOUT, "timed out waiting until {what}");
         thread::sleep(Duration::from_millis(2));
     }
 }
 
-/// A router that refuses every request at once, and closes connections when it is told to.
+/// A router that refuses every request at once, and closes connections on request.
 struct Router {
     address: SocketAddr,
     listener: TcpListener,
@@ -57,7 +58,7 @@
         self.open.lock().expect("not poisoned").len()
     }
 
-    /// Closes all connections but so many; their clients read the end of the stream.
+    /// Closes all connections but `kept`; their clients read the end of the stream.
     fn close_all_but(&self, kept: usize) {
         let mut open = self.open.lock().expect("not poisoned");
         while open.len() > kept {
@@ -66,13 +67,13 @@
         }
     }
 
-    /// From now on a connection that is made waits: nobody accepts, and the queue is full.
+    /// Stops accepting and fills the accept queue, so that new connection attempts wait.
     fn stall_accepts(&self) -> Vec<Socket> {
         self.accepts.store(false, Ordering::SeqCst);
         let mut fillers = vec![self.fill()];
         until("nobody accepts", || self.accepting.is_finished());
         Socket::from(self.listener.try_clone().expect("a second handle")).listen(0).expect("it listens");
-        // The first is taken into the queue, and leaves no room there.
+        // The queue takes the first one and is full then.
         fillers.extend((0..3).map(|_| self.fill()));
         until("the queue is full", || connecting_to(self.address.port()) == 2);
         fillers
@@ -81,7 +82,7 @@
     fn fill(&self) -> Socket {
         let filler = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
         filler.set_nonblocking(true).expect("set");
-        let _ = filler.connect(&self.address.into()); // It goes on by itself.
+        let _ = filler.connect(&self.address.into()); // The connection attempt continues asynchronously.
         filler
     }
 }
@@ -95,14 +96,14 @@
                 let head = "Status: 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n";
                 let answer = fastcgi::answer(record.request, head, b"").concat();
                 if stream.write_all(&answer).is_err() {
-                    return; // Its write half is closed: what crosses the close is read away.
+                    return; // The write half is closed; requests sent before the client sees the close are read and dropped.
                 }
             }
         }
     }
 }
 
-/// Sockets that are about to connect to a port: /proc/net/tcp has them as SYN_SENT.
+/// Returns the number of sockets connecting to a port: those in state SYN_SENT in /proc/net/tcp.
 fn connecting_to(port: u16) -> usize {
     let table = std::fs::read_to_string("/proc/net/tcp").expect("there");
     let remote = format!(":{port:04X}");
@@ -120,7 +121,8 @@
     let (clients_world, address) = (world.clone(), router.address);
     let load = thread::spawn(move || clients::run(&clients_world, address, 20.0, 400.0, 7));
     until("all connections are there", || router.count() >= 24);
-    // A client that has lost most of its connections makes new ones, which takes a while; meanwhile its last one ends.
+    // A client that has lost most of its connections opens new ones, which takes a while; its last
+    // connection ends in the meantime.
     let fillers = router.stall_accepts();
     router.close_all_but(1);
     until("the client connects", || connecting_to(address.port()) > 2);
--- a/crates/frostturn-lab/tests/shims.rs
+++ b/crates/frostturn-lab/tests/shims.rs
@@ -1,15 +1,15 @@
-//! The real daemon with its system calls failing now and then, as Linux documents that they may: all rules hold, and hardly
-//! a request is refused or failed for it.
+//! Tests the real daemon while some of its system calls fail with errors that Linux documents: all rules
+//! hold, and at most 2 % of the requests are not served.
 
 use frostturn_lab::report::Report;
 use frostturn_lab::scenarios::{up, Options};
 use frostturn_lab::shims::Shims;
 use std::path::PathBuf;
 
-/// Part of the calls that fail.
+/// Share of the calls that fail.
 const SHARE: f64 = 0.05;
 
-/// Some seconds of a small site under a daemon whose calls of these names fail.
+/// Runs a small site for some seconds with failing calls of these names.
 fn play(calls: &str) -> Report {
     let shims = Shims { syscalls: Some(format!("{SHARE}:{calls}")), ..Shims::default() };
     let options = Options {
@@ -31,16 +31,16 @@
 }
 
 #[test]
-fn sockets_that_cannot_be_had_or_connected_now_and_then_cost_no_request() {
+fn occasional_failures_to_create_or_connect_sockets_cost_no_requests() {
     ["socket", "connect", "setsockopt", "epoll_ctl"].into_iter().for_each(keeps_all_rules_and_serves);
 }
 
 #[test]
-fn accepts_that_fail_now_and_then_cost_no_request() {
+fn occasional_accept_failures_cost_no_requests() {
     keeps_all_rules_and_serves("accept");
 }
 
 #[test]
-fn reads_and_writes_that_fail_or_are_short_now_and_then_cost_no_request() {
+fn occasional_failures_and_short_reads_and_writes_cost_no_requests() {
     ["read", "write"].into_iter().for_each(keeps_all_rules_and_serves);
 }
--- a/crates/frostturn-lab/tests/soak.rs
+++ b/crates/frostturn-lab/tests/soak.rs
@@ -1,15 +1,16 @@
-//! A short soak with fixed seeds: real processes emptied, ended and killed under clients that never stop. The long run, on
-//! fifty seeds or more, is started by hand.
+//! A short soak with fixed seeds: real processes are evacuated, terminated and killed under continuous
+//! load. The long run, on fifty seeds or more, is started by hand.
 
 use frostturn_lab::scenarios::{soak, Options};
 use std::path::PathBuf;
 use std::thread;
 
-/// Seeds whose schedules empty and end routers, beside new processes and crowds, one with short deadlines.
+/// Seeds whose schedules evacuate and terminate routers, together with upgrades and crowds, one of them
+/// with short deadlines.
 const SEEDS: [u64; 2] = [1, 2];
 
 #[test]
-fn routers_that_are_emptied_or_ended_under_load_keep_every_rule() {
+fn routers_evacuated_or_terminated_under_load_violate_no_rule() {
     let play = |seed| {
         let daemon = Some(PathBuf::from(env!("CARGO_BIN_EXE_frostturn-lab")));
         soak::run(&Options { seed, daemon, ..Options::default() }).expect("it starts and ends well")
--- a/crates/frostturn-lab/tests/up.rs
+++ b/crates/frostturn-lab/tests/up.rs
@@ -1,9 +1,9 @@
-//! The newcomer's command as a process: the real daemon serves a small site, and the summary can be read.
+//! Tests the command `up` as a process: the real daemon serves a small site, and the summary can be parsed.
 
 use std::process::Command;
 
 #[test]
-fn up_serves_a_small_site_breaks_no_rule_and_ends_with_code_0() {
+fn up_serves_a_small_site_violates_no_rule_and_exits_with_0() {
     let output = Command::new(env!("CARGO_BIN_EXE_frostturn-lab"))
         .args(["up", "--seconds", "1", "--rate", "50", "--json"])
         .output()
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn an_unknown_scenario_is_a_fault_of_the_command_line() {
+fn an_unknown_scenario_exits_with_2() {
     let output = Command::new(env!("CARGO_BIN_EXE_frostturn-lab")).args(["run", "nothing"]).output();
     assert_eq!(output.expect("it runs").status.code(), Some(2));
 }
--- a/crates/frostturn-shims/src/faults.rs
+++ b/crates/frostturn-shims/src/faults.rs
@@ -1,10 +1,10 @@
-//! Draws which call fails, and with which of the errors that its manual page names.
+//! Draws which calls fail, and with which of the errors that their manual pages name.
 
 use crate::plan::{Call, Plan};
 use std::ffi::c_int;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// Error numbers of Linux, as `errno-base.h` and `errno.h` have them.
+/// Linux error numbers, as in `errno-base.h` and `errno.h`.
 pub mod errno {
     use std::ffi::c_int;
 
@@ -27,14 +27,14 @@
 }
 use errno::*;
 
-/// What socket(2) names: the process, the system, or memory is at its limit.
+/// socket(2): limits of the process, the system or memory.
 const SOCKET: &[c_int] = &[EMFILE, ENFILE, ENOBUFS, ENOMEM];
-/// connect(2): no local port, no route, an interrupt after which the connect goes on by itself.
+/// connect(2): no local port, no route, or an interrupt after which the connect continues asynchronously.
 const CONNECT: &[c_int] = &[EADDRNOTAVAIL, ENETUNREACH, EHOSTUNREACH, EAGAIN, EINTR];
 const SETSOCKOPT: &[c_int] = &[ENOBUFS, ENOMEM];
-/// epoll_ctl(2), additions.
+/// epoll_ctl(2), additions only.
 const EPOLL_ADD: &[c_int] = &[ENOMEM, ENOSPC];
-/// accept(2), with the errors of the new socket that Linux passes on.
+/// accept(2), with the pending errors of the new socket that Linux passes on.
 const ACCEPT: &[c_int] = &[
     ECONNABORTED,
     EINTR,
@@ -51,12 +51,12 @@
 ];
 const READ: &[c_int] = &[EINTR, ENOMEM];
 const WRITE: &[c_int] = &[EINTR, ENOBUFS, ENOMEM];
-/// What a broken connection says: nothing of what the peer has read.
+/// Errors of a broken connection, which don't tell what the peer has read.
 const SEVER: &[c_int] = &[ETIMEDOUT, EHOSTUNREACH];
-/// write(2), fsync(2), rename(2) and open(2) of a file.
+/// write(2), fsync(2), rename(2) and open(2) of regular files.
 const DISK: &[c_int] = &[ENOSPC, EIO];
 
-/// A number drawn from the plan's seed (SplitMix64, as published by Steele, Lea and Flood).
+/// Returns a random number from the plan's seed (SplitMix64, as published by Steele, Lea and Flood).
 fn draw() -> u64 {
     static STATE: AtomicU64 = AtomicU64::new(0);
     let step = STATE.fetch_add(0x9e37_79b9_7f4a_7c15, Ordering::Relaxed);
@@ -66,7 +66,7 @@
     mixed ^ (mixed >> 31)
 }
 
-/// Whether something with this chance happens now.
+/// Returns true with this probability.
 pub fn happens(share: f64) -> bool {
     share > 0.0 && (draw() as f64) < share * u64::MAX as f64
 }
@@ -75,7 +75,7 @@
     errors[(draw() % errors.len() as u64) as usize]
 }
 
-/// The error with which this call fails now, if it does.
+/// Returns the error with which this call is to fail, if it is.
 pub fn syscall(call: Call) -> Option<c_int> {
     let errors = match call {
         Call::Socket => SOCKET,
@@ -90,12 +90,12 @@
     happens(Plan::get().share_of(call)).then(|| one_of(errors))
 }
 
-/// The error with which a call on a regular file fails now, if it does.
+/// Returns the error with which a call on a regular file is to fail, if it is.
 pub fn disk() -> Option<c_int> {
     happens(Plan::get().disk_share).then(|| one_of(DISK))
 }
 
-/// Of so many bytes that could be moved at once, those that are, where the call is a short one.
+/// Returns a reduced number of bytes if this read or write is to be a short one.
 pub fn short(share: f64, bytes: usize) -> Option<usize> {
     (bytes > 1 && happens(share)).then(|| 1 + (draw() % (bytes as u64 - 1)) as usize)
 }
--- a/crates/frostturn-shims/src/libc_calls.rs
+++ b/crates/frostturn-shims/src/libc_calls.rs
@@ -1,4 +1,4 @@
-//! The functions that stand before the C library's.
+//! Functions that the dynamic linker finds before the C library's.
 
 use crate::faults::{self, errno};
 use crate::plan::{Call, Plan};
@@ -23,7 +23,7 @@
 const SO_ACCEPTCONN: c_int = 30;
 const SOCK_STREAM: c_int = 1;
 const STDERR: c_int = 2;
-/// The next object in the order in which the dynamic linker looks.
+/// Handle for the next object in the dynamic linker's search order.
 const RTLD_NEXT: *mut c_void = -1_isize as *mut c_void;
 
 extern "C" {
@@ -38,7 +38,7 @@
     -1
 }
 
-/// The C library's function of a name, looked up once.
+/// Looks up the C library's function of this name once.
 macro_rules! real {
     ($name:literal, fn($($argument:ty),*) -> $result:ty) => {{
         static ADDRESS: OnceLock<usize> = OnceLock::new();
@@ -50,7 +50,7 @@
     }};
 }
 
-/// An integer option of a socket; `None`: it is no socket.
+/// Returns an integer option of a socket; `None`: not a socket.
 fn socket_option(fd: c_int, name: c_int) -> Option<c_int> {
     let (mut value, mut length): (c_int, c_uint) = (0, 4);
     // SAFETY: both pointers are of this frame, and the length is the value's.
@@ -58,7 +58,7 @@
     (got == 0).then_some(value)
 }
 
-/// Whether it is a stream socket that is not a listener.
+/// Returns whether the descriptor is a stream socket that is not a listener.
 fn is_connection(fd: c_int) -> bool {
     socket_option(fd, SO_TYPE) == Some(SOCK_STREAM) && socket_option(fd, SO_ACCEPTCONN) == Some(0)
 }
@@ -80,10 +80,11 @@
     let next = real!(c"connect", fn(c_int, *const c_void, c_uint) -> c_int);
     match faults::syscall(Call::Connect) {
         Some(errno::EINTR) => {
-            next(fd, address, length); // It goes on by itself.
+            next(fd, address, length); // The connect continues asynchronously.
             fail(errno::EINTR) as c_int
         }
-        // Only a Unix socket's connect says EAGAIN for a full queue; for others it is a want of ports.
+        // connect(2) gives EAGAIN to a Unix socket for a full accept queue, to other sockets for a lack of
+        // ports.
         Some(errno::EADDRNOTAVAIL | errno::ENETUNREACH | errno::EHOSTUNREACH)
             if address.cast::<u16>().read_unaligned() == AF_UNIX =>
         {
@@ -141,7 +142,7 @@
     }
 }
 
-/// The connection is broken from now on; nothing is known of what its peer has read.
+/// Breaks the connection from now on; what its peer has read stays unknown.
 fn sever(fd: c_int) -> Option<c_int> {
     let error = faults::syscall(Call::Sever).filter(|_| is_connection(fd))?;
     let shutdown = real!(c"shutdown", fn(c_int, c_int) -> c_int);
@@ -175,7 +176,7 @@
 }
 
 /// # Safety
-/// As write(2). Only files of the disk come here: the log is left alone.
+/// As write(2). Only regular files fail here; the log on standard error is not touched.
 #[no_mangle]
 pub unsafe extern "C" fn write(fd: c_int, buffer: *const c_void, bytes: usize) -> isize {
     let next = real!(c"write", fn(c_int, *const c_void, usize) -> isize);
@@ -222,7 +223,7 @@
 }
 
 /// # Safety
-/// As open(2), with a mode also where it is not looked at.
+/// As open(2); the mode is passed on even where it is ignored.
 #[no_mangle]
 pub unsafe extern "C" fn open64(path: *const c_char, flags: c_int, mode: c_uint) -> c_int {
     match faults::disk().filter(|_| flags & O_CREAT != 0) {
--- a/crates/frostturn-shims/src/plan.rs
+++ b/crates/frostturn-shims/src/plan.rs
@@ -1,11 +1,11 @@
-//! What the environment says is to happen.
+//! The faults that the environment configures.
 
 use std::sync::OnceLock;
 
-/// The variable that says it.
+/// Environment variable with the configuration.
 const VARIABLE: &str = "FROSTTURN_SHIMS";
 
-/// A system call, or a kind of them, that may be made to fail.
+/// A system call, or a kind of system call, that can fail.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Call {
     Socket,
@@ -18,14 +18,14 @@
     Sever,
 }
 
-/// How often the wall clock is further, and from when on.
+/// A step of the wall clock: its size, and the time of `CLOCK_BOOTTIME` from which it applies.
 #[derive(Clone, Copy, Debug)]
 pub struct ClockStep {
     pub by_ms: i64,
     pub from_boot_ms: i64,
 }
 
-/// What happens in this process.
+/// The faults of this process.
 #[derive(Debug, Default)]
 pub struct Plan {
     pub seed: u64,
@@ -36,16 +36,16 @@
 }
 
 impl Plan {
-    /// The plan of this process.
+    /// Returns the plan of this process.
     pub fn get() -> &'static Self {
         static PLAN: OnceLock<Plan> = OnceLock::new();
         PLAN.get_or_init(|| std::env::var(VARIABLE).map(|text| Self::read(&text)).unwrap_or_default())
     }
 
-    /// Words that can't be read are passed over: the laboratory writes them.
+    /// Settings that can't be parsed are ignored, since the laboratory writes them.
     fn read(text: &str) -> Self {
         let mut plan = Self::default();
-        for (name, value) in text.split_whitespace().filter_map(|word| word.split_once('=')) {
+        for (name, value) in text.split_whitespace().filter_map(|setting| setting.split_once('=')) {
             match name {
                 "seed" => plan.seed = value.parse().unwrap_or(0),
                 "disk" => plan.disk_share = value.parse().unwrap_or(0.0),
@@ -61,7 +61,7 @@
         plan
     }
 
-    /// The share of these calls that fails.
+    /// Returns the share of these calls that fails.
     pub fn share_of(&self, call: Call) -> f64 {
         if self.syscalls.contains(&call) {
             self.syscall_share
