--- a/crates/frostturn-lab/src/check.rs
+++ b/crates/frostturn-lab/src/check.rs
@@ -67,7 +67,7 @@
 
 #[derive(Debug)]
 struct Request {
-    most: u64,
+    max_attempts: u64,
     object: u64,
     sent: Millis,
     client_timeout: Millis,
@@ -117,29 +117,44 @@
     /// Records that a request was under way when the router closed its connection. Its client would send it
     /// again. The router must not have forwarded it, as nobody receives its result.
     pub fn crossed(&mut self, id: u64) {
-        self.requests.entry(id).and_modify(|asked| asked.crossed = true);
+        self.requests.entry(id).and_modify(|request| request.crossed = true);
     }
 
     /// Records a request that a client has sent completely, with the client's timeout. Its class allows
     /// `most` attempts that may be executed.
-    pub fn request_sent(&mut self, id: u64, most: u64, object: u64, sent: Millis, client_timeout: Millis) {
+    pub fn request_sent(
+        &mut self,
+        id: u64,
+        max_attempts: u64,
+        object: u64,
+        sent: Millis,
+        client_timeout: Millis,
+    ) {
         self.requests.insert(
             id,
-            Request { most, object, sent, client_timeout, answers: Vec::new(), arrivals: 0, crossed: false },
+            Request {
+                max_attempts,
+                object,
+                sent,
+                client_timeout,
+                answers: Vec::new(),
+                arrivals: 0,
+                crossed: false,
+            },
         );
     }
 
     /// Records a complete answer.
     pub fn answered(&mut self, id: u64, at: Millis, answer: Answer) {
-        let Some(asked) = self.requests.get_mut(&id) else { return };
-        asked.answers.push((at, answer));
+        let Some(request) = self.requests.get_mut(&id) else { return };
+        request.answers.push((at, answer));
         let Answer::Served { stamp_ms } = answer else { return };
-        let purged = self.purges.get(&asked.object).into_iter().flatten();
-        let older = |(told, made): &&(Millis, f64)| {
-            asked.sent > told + PURGE_MS && stamp_ms > 0.0 && stamp_ms < *made
+        let purged = self.purges.get(&request.object).into_iter().flatten();
+        let older = |(announced, made): &&(Millis, f64)| {
+            request.sent > announced + PURGE_MS && stamp_ms > 0.0 && stamp_ms < *made
         };
-        if let Some((told, made)) = purged.into_iter().find(older) {
-            let (late, by, object) = (asked.sent - told, made - stamp_ms, asked.object);
+        if let Some((announced, made)) = purged.into_iter().find(older) {
+            let (late, by, object) = (request.sent - announced, made - stamp_ms, request.object);
             self.rules.purge += 1;
             self.note(format!(
                 "purge: {id:x} of {object:x}, sent {late:.0} ms after the announcement, got a copy {by:.0} ms older"
@@ -155,22 +170,23 @@
 
     /// Returns when a request was sent.
     pub fn sent_at(&self, id: u64) -> Option<Millis> {
-        self.requests.get(&id).map(|asked| asked.sent)
+        self.requests.get(&id).map(|request| request.sent)
     }
 
     /// Records a request that a machine has received completely and may have executed. `begun` is when its
     /// first byte arrived. Returns true if it had arrived at a machine before.
     pub fn arrived(&mut self, id: u64, machine: usize, begun: Millis) -> bool {
         self.count_work(machine, begun);
-        if let Some(told) = self.drained.get(&machine).filter(|told| begun > *told + DRAIN_MS) {
-            let late = begun - told;
+        if let Some(announced) = self.drained.get(&machine).filter(|announced| begun > *announced + DRAIN_MS)
+        {
+            let late = begun - announced;
             self.rules.drain += 1;
             self.note(format!("drain: {id:x} came to machine {machine} {late:.0} ms after the announcement"));
         }
-        let Some(asked) = self.requests.get_mut(&id) else { return false };
-        asked.arrivals += 1;
-        let again = asked.arrivals > 1;
-        if asked.arrivals > asked.most {
+        let Some(request) = self.requests.get_mut(&id) else { return false };
+        request.arrivals += 1;
+        let again = request.arrivals > 1;
+        if request.arrivals > request.max_attempts {
             self.rules.doubled += 1;
             self.note(format!("doubled: {id:x} came to machine {machine} again"));
         }
@@ -204,8 +220,8 @@
     }
 
     /// Records the announcement of a purge that was made at a Unix time.
-    pub fn purged(&mut self, object: u64, told: Millis, made_unix_ms: f64) {
-        self.purges.entry(object).or_default().push((told, made_unix_ms));
+    pub fn purged(&mut self, object: u64, announced: Millis, made_unix_ms: f64) {
+        self.purges.entry(object).or_default().push((announced, made_unix_ms));
     }
 
     fn note(&mut self, text: String) {
@@ -218,17 +234,17 @@
     pub fn finish(mut self) -> Verdict {
         let mut verdict = Verdict { requests: self.requests.len() as u64, ..Verdict::default() };
         let mut lost = Vec::new();
-        for (id, asked) in &self.requests {
-            let by = asked.sent + asked.client_timeout + LATE_MS + self.grace_ms;
-            if asked.crossed && asked.answers.is_empty() && asked.arrivals == 0 {
+        for (id, request) in &self.requests {
+            let by = request.sent + request.client_timeout + LATE_MS + self.grace_ms;
+            if request.crossed && request.answers.is_empty() && request.arrivals == 0 {
                 continue;
             }
-            let [(at, answer)] = asked.answers[..] else {
-                lost.push(format!("lost: {id:x} has {} answers", asked.answers.len()));
+            let [(at, answer)] = request.answers[..] else {
+                lost.push(format!("lost: {id:x} has {} answers", request.answers.len()));
                 continue;
             };
             if at > by {
-                lost.push(format!("lost: {id:x} was answered {:.0} ms after it was sent", at - asked.sent));
+                lost.push(format!("lost: {id:x} was answered {:.0} ms after it was sent", at - request.sent));
             }
             *match answer {
                 Answer::Served { .. } => &mut verdict.served,
@@ -241,13 +257,13 @@
         for (machine, cold) in std::mem::take(&mut self.cold) {
             let mut work = cold.work;
             work.sort_by(f64::total_cmp);
-            let over = (0..work.len()).find_map(|at| {
+            let exceeded = (0..work.len()).find_map(|at| {
                 let got = work[at..].partition_point(|w| *w < work[at] + 1000.0);
                 let warm = (work[at] - cold.since) / (cold.until - cold.since);
                 let budget = cold.budget.first + warm * (cold.budget.last - cold.budget.first);
                 (got as f64 > budget).then_some((work[at] - cold.since, got, budget))
             });
-            if let Some((after, got, budget)) = over {
+            if let Some((after, got, budget)) = exceeded {
                 self.rules.cold += 1;
                 self.note(format!(
                     "cold: machine {machine} got {got} in a second from {after:.0} ms after its start, {budget:.0} are allowed"
--- a/crates/frostturn-lab/src/clients.rs
+++ b/crates/frostturn-lab/src/clients.rs
@@ -219,13 +219,13 @@
         }
     }
 
-    /// Whether any answer is still to come.
+    /// Returns whether any answer is still awaited.
     fn awaits(&self) -> bool {
         let open = |connection: &Connection| !lock(&connection.open).by_number.is_empty();
         self.connections.iter().any(open) || !lock(&self.crossed).is_empty()
     }
 
-    /// Closes all connections; what the load came to.
+    /// Closes all connections and returns the result of the load.
     fn finish(self) -> Load {
         self.connections.iter().for_each(|one| drop(one.stream.shutdown(Shutdown::Both)));
         let mut load = lock(&self.load);
@@ -240,7 +240,8 @@
         }
     }
 
-    /// Sends what crossed a close again, each on a new connection, as the protocol page has it.
+    /// Resends each request that was under way when its connection closed, on a new connection, as the
+    /// protocol specification requires.
     fn send_crossed(&mut self) {
         let crossed = std::mem::take(&mut *lock(&self.crossed));
         lock(&self.load).crossed += crossed.len() as u64;
@@ -259,7 +260,7 @@
         }
     }
 
-    /// Sends a request on one connection; returns it if the connection has ended or is full.
+    /// Sends a request on the connection with the fewest open requests, keeping `CONNECTIONS` open.
     fn send(&mut self, mut sent: Sent) {
         lock(&self.load).worth += CLASSES[sent.class].worth;
         let retired = self.world.observations().retired_before;
@@ -268,7 +269,8 @@
             let Some(connection) = self.connect() else { break };
             self.connections.push(connection);
         }
-        // By turns, so that none falls idle. One may end just now: then another is taken.
+        // The rotation keeps every connection in use. A connection may end at this moment; another one is
+        // tried then.
         for _ in 0..self.connections.len() {
             self.connections.rotate_left(1);
             let carries = |one: &Connection| lock(&one.open).by_number.len();
@@ -279,14 +281,14 @@
                 Err(back) => sent = back,
             }
             if !lock(&self.connections[at].open).ended {
-                break; // The one that carries least is full.
+                break; // Even the connection with the fewest open requests is full.
             }
             self.connections.remove(at);
         }
         lock(&self.load).unsent += 1;
     }
 
-    /// Sends a request on one connection; it comes back where that has ended or is full.
+    /// Sends a request on one connection; returns it if the connection has ended or is full.
     fn send_on(&mut self, at: usize, mut sent: Sent) -> Result<(), Sent> {
         let connection = &mut self.connections[at];
         let (class, id, object, first) = (&CLASSES[sent.class], sent.id, sent.object, !sent.again);
--- a/crates/frostturn-lab/src/daemon.rs
+++ b/crates/frostturn-lab/src/daemon.rs
@@ -62,27 +62,29 @@
 
 impl Daemon {
     /// Starts a daemon and waits until it is ready.
-    pub fn start(how: &Start<'_>) -> Result<Self, String> {
-        let mut daemon = Self::spawn(how)?;
-        daemon.wait_until_ready(how.shared_listener.is_some())?;
+    pub fn start(options: &Start<'_>) -> Result<Self, String> {
+        let mut daemon = Self::spawn(options)?;
+        daemon.wait_until_ready(options.shared_listener.is_some())?;
         Ok(daemon)
     }
 
     /// Starts a daemon without waiting.
-    pub fn spawn(how: &Start<'_>) -> Result<Self, String> {
-        let (listen, number) = match how.shared_listener {
+    pub fn spawn(options: &Start<'_>) -> Result<Self, String> {
+        let (listen, number) = match options.shared_listener {
             Some(SharedListener { listen, number }) => (listen, number.to_string()),
             None => (([127, 0, 0, 1], 0).into(), String::new()),
         };
         let config = json!({
-            "name": how.name, "listen": listen.to_string(), "seed": format!("{:x}", how.seed), "board": how.discovery.to_string(),
-            "limits": { "cores": 1.0, "memory_mb": 32, "sockets": 1024 }, "known": how.known, "settings": settings(how.instances, how.deadline_scale),
+            "name": options.name, "listen": listen.to_string(), "seed": format!("{:x}", options.seed), "board": options.discovery.to_string(),
+            "limits": { "cores": 1.0, "memory_mb": 32, "sockets": 1024 }, "known": options.known, "settings": settings(options.instances, options.deadline_scale),
         });
-        let (path, log) =
-            (how.dir.join(format!("config{number}.json")), how.dir.join(format!("daemon{number}.log")));
+        let (path, log) = (
+            options.dir.join(format!("config{number}.json")),
+            options.dir.join(format!("daemon{number}.log")),
+        );
         std::fs::write(&path, config.to_string()).map_err(|e| format!("{}: {e}", path.display()))?;
         let file = File::create(&log).map_err(|e| format!("{}: {e}", log.display()))?;
-        let mut command = match how.program {
+        let mut command = match options.program {
             Some(program) => {
                 let mut command = Command::new(program);
                 // The laboratory's executable runs the daemon by a subcommand.
@@ -101,25 +103,26 @@
         command.env("PROXY_CONFIG", &path).env_remove("PROXY_LISTEN").env_remove("PROXY_NAME");
         command.env_remove("FROSTTURN_LOG").env_remove("FROSTTURN_OPERATOR").env_remove("PROXY_OPS");
         command.env_remove("FROSTTURN_LOG_LEVEL");
-        if how.shared_listener.is_some() {
-            command.env("PROXY_OPS", "127.0.0.1:0").env("TMPDIR", how.dir);
+        if options.shared_listener.is_some() {
+            command.env("PROXY_OPS", "127.0.0.1:0").env("TMPDIR", options.dir);
         }
-        if let Some(operator) = how.operator {
+        if let Some(operator) = options.operator {
             command.env("FROSTTURN_OPERATOR", operator);
         }
-        for (name, value) in how.environment {
+        for (name, value) in options.environment {
             // Each process draws its faults from its own seed.
-            let drawn = if name == VARIABLE { format!("{value} seed={}", how.seed) } else { value.clone() };
-            command.env(name, drawn);
+            let configured =
+                if name == VARIABLE { format!("{value} seed={}", options.seed) } else { value.clone() };
+            command.env(name, configured);
         }
         let child = command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(file).spawn();
         let child = child.map_err(|e| format!("cannot start the daemon: {e}"))?;
         Ok(Self { child, address: ([127, 0, 0, 1], 0).into(), ops: None, log })
     }
 
-    /// Waits until the daemon is ready: by its operators' address if `called` is set, else by a health
+    /// Waits until the daemon is ready: by its operators' address if `has_ops` is set, else by a health
     /// check.
-    pub fn wait_until_ready(&mut self, called: bool) -> Result<(), String> {
+    pub fn wait_until_ready(&mut self, has_ops: bool) -> Result<(), String> {
         let until = Instant::now() + Duration::from_secs(10);
         loop {
             let text = std::fs::read_to_string(&self.log).unwrap_or_default();
@@ -130,7 +133,7 @@
             if let Some(address) = after("listens on ") {
                 (self.address, self.ops) = (address, after("operators call at "));
                 let ready = match self.ops {
-                    Some(ops) if called => {
+                    Some(ops) if has_ops => {
                         call(ops, &Call::Ready).is_ok_and(|answer| matches!(answer, Answer::Yes(_)))
                     }
                     _ => answers_health_check(address),
@@ -263,7 +266,7 @@
 
 /// Sends an operator's call and returns the answer.
 pub fn call(ops: SocketAddr, what: &Call) -> Result<Answer, String> {
-    let asked = || -> std::io::Result<Vec<u8>> {
+    let exchange = || -> std::io::Result<Vec<u8>> {
         let mut stream = TcpStream::connect_timeout(&ops, Duration::from_secs(2))?;
         stream.set_read_timeout(Some(Duration::from_secs(2)))?;
         stream.write_all(&control::write(what))?;
@@ -271,12 +274,12 @@
         stream.read_to_end(&mut bytes)?;
         Ok(bytes)
     };
-    asked().map_err(|e| e.to_string()).and_then(|bytes| control::read(&bytes).map_err(str::to_owned))
+    exchange().map_err(|e| e.to_string()).and_then(|bytes| control::read(&bytes).map_err(str::to_owned))
 }
 
 /// Returns whether a router answers the health check with 200.
 fn answers_health_check(address: SocketAddr) -> bool {
-    let asked = || -> std::io::Result<String> {
+    let exchange = || -> std::io::Result<String> {
         let mut stream = TcpStream::connect_timeout(&address, Duration::from_secs(1))?;
         stream.set_read_timeout(Some(Duration::from_secs(1)))?;
         let (mut out, mut params) = (Vec::new(), Vec::new());
@@ -300,5 +303,5 @@
             }
         }
     };
-    asked().is_ok_and(|text| text.starts_with("Status: 200 "))
+    exchange().is_ok_and(|text| text.starts_with("Status: 200 "))
 }
--- a/crates/frostturn-lab/src/discovery.rs
+++ b/crates/frostturn-lab/src/discovery.rs
@@ -44,39 +44,40 @@
             pending: Mutex::default(),
             world: world.clone(),
         });
-        let asked = discovery.clone();
+        let service = discovery.clone();
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
-                let asked = asked.clone();
-                thread::spawn(move || asked.serve(stream));
+                let service = service.clone();
+                thread::spawn(move || service.serve(stream));
             }
         });
         Ok(discovery)
     }
 
     /// Publishes an event. It counts as announced once it is delivered, and after 7 s at the latest.
-    pub fn publish(&self, event: Value, told: Option<Announcement>) {
+    pub fn publish(&self, event: Value, announcement: Option<Announcement>) {
         let mut events = self.events.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
         let rev = events.len() as u64 + 1;
         events.push(numbered(rev, event));
         let until = self.world.now() + LATEST_MS;
         let mut pending = self.pending.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
-        pending.extend(told.map(|told| (rev, until, told)));
+        pending.extend(announcement.map(|announcement| (rev, until, announcement)));
         drop(pending);
         self.more.notify_all();
     }
 
     /// Records the announcements of delivered events and of those whose latest time has come.
-    fn note(&self, upto: u64) {
+    fn record_announced(&self, upto: u64) {
         let now = self.world.now();
         let mut pending = self.pending.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
-        let (due, rest) = pending.drain(..).partition(|(rev, until, _)| *rev <= upto || *until <= now);
-        *pending = rest;
+        let (announced, remaining) =
+            pending.drain(..).partition(|(rev, until, _)| *rev <= upto || *until <= now);
+        *pending = remaining;
         drop(pending);
-        let due: Vec<(u64, Millis, Announcement)> = due;
+        let announced: Vec<(u64, Millis, Announcement)> = announced;
         let mut seen = self.world.observations();
-        for (_, _, told) in due {
-            match told {
+        for (_, _, announcement) in announced {
+            match announcement {
                 Announcement::Draining(machine) => seen.checker.set_drained(machine, Some(now)),
                 Announcement::Purged(object, made) => seen.checker.purged(object, now, made),
             }
@@ -109,7 +110,7 @@
             let (watch, until) =
                 (number("watch="), Instant::now() + Duration::from_millis(number("linger=")));
             let mut events = self.events.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
-            self.note(0);
+            self.record_announced(0);
             while events.len() as u64 <= watch && Instant::now() < until && !self.world.ended() {
                 let wait = until.saturating_duration_since(Instant::now()).min(Duration::from_millis(100));
                 events = match self.more.wait_timeout(events, wait) {
@@ -125,7 +126,7 @@
             if stream.write_all(answer.as_bytes()).is_err() {
                 return;
             }
-            self.note(last);
+            self.record_announced(last);
         }
     }
 }
--- a/crates/frostturn-lab/src/fleet/audit.rs
+++ b/crates/frostturn-lab/src/fleet/audit.rs
@@ -13,7 +13,7 @@
 /// Parses the events in one process's log, and the number of its start. `start` is the index of the process
 /// among those of its router.
 pub fn parse_log(log: &str, by: usize, start: usize) -> (Vec<LoggedEvent>, u64) {
-    let (mut said, mut number) = (Vec::new(), 0);
+    let (mut logged, mut number) = (Vec::new(), 0);
     for line in log.lines() {
         if let Some((_, rest)) = line.split_once(", start ") {
             number = rest.trim().parse().unwrap_or(number);
@@ -21,9 +21,9 @@
         }
         let Some((_, line)) = line.split_once("fleet: ") else { continue };
         let event = status_changed(line).or_else(|| member_changed(line));
-        said.extend(event.map(|(at, event)| LoggedEvent { at, by, start, event }));
+        logged.extend(event.map(|(at, event)| LoggedEvent { at, by, start, event }));
     }
-    (said, number)
+    (logged, number)
 }
 
 fn between<'a>(line: &'a str, from: &str, to: &str) -> Option<&'a str> {
--- a/crates/frostturn-lab/src/fleet/check.rs
+++ b/crates/frostturn-lab/src/fleet/check.rs
@@ -46,7 +46,7 @@
     alive: Vec<bool>,
     stopped: Vec<bool>,
     /// Whether a router has routes to and from a majority, itself included.
-    joined: Vec<bool>,
+    connected: Vec<bool>,
 }
 
 /// The ground truth, as intervals.
@@ -56,7 +56,7 @@
     intervals: Vec<Interval>,
     kills: Vec<(Millis, usize)>,
     /// For each router, when each of its processes began and ended.
-    lives: Vec<Vec<(Millis, Millis)>>,
+    processes: Vec<Vec<(Millis, Millis)>>,
     /// The start number of each process.
     starts: Vec<Vec<u64>>,
     /// For each router, when it was suspended.
@@ -77,7 +77,7 @@
             routers,
             intervals: Vec::new(),
             kills: Vec::new(),
-            lives: vec![vec![(begin, end)]; routers],
+            processes: vec![vec![(begin, end)]; routers],
             starts,
             stops: vec![Vec::new(); routers],
             heals: Vec::new(),
@@ -86,9 +86,9 @@
         let mut from = begin;
         for (at, what) in done.iter().cloned().chain([(end, FaultAction::Junk(0, 0))]) {
             if at > from {
-                let joined = joined(&alive, &stopped, &cuts);
+                let connected = connected(&alive, &stopped, &cuts);
                 let (alive, stopped) = (alive.clone(), stopped.clone());
-                truth.intervals.push(Interval { from, until: at, alive, stopped, joined });
+                truth.intervals.push(Interval { from, until: at, alive, stopped, connected });
                 from = at;
             }
             match what {
@@ -96,14 +96,14 @@
                     for one in these.into_iter().filter(|one| std::mem::replace(&mut alive[*one], false)) {
                         truth.kills.push((at, one));
                         stopped[one] = false;
-                        if let Some(life) = truth.lives[one].last_mut() {
+                        if let Some(life) = truth.processes[one].last_mut() {
                             life.1 = at;
                         }
                     }
                 }
                 FaultAction::Start(these) => {
                     for one in these.into_iter().filter(|one| !std::mem::replace(&mut alive[*one], true)) {
-                        truth.lives[one].push((at, end));
+                        truth.processes[one].push((at, end));
                     }
                 }
                 FaultAction::Stop(these) => {
@@ -138,35 +138,35 @@
 
     /// Returns whether a router ran all the time with routes to and from a majority; a short stall doesn't
     /// count.
-    fn well(&self, one: usize, from: Millis, until: Millis) -> bool {
+    fn was_connected(&self, one: usize, from: Millis, until: Millis) -> bool {
         let short = self.stops[one].iter().all(|(a, b)| *b <= from || *a >= until || b - a <= SHORT_STALL_MS);
-        short && self.during(from, until).all(|s| s.alive[one] && s.joined[one])
+        short && self.during(from, until).all(|s| s.alive[one] && s.connected[one])
     }
 
-    /// As [`well`](Self::well), and without any stall.
-    fn awake(&self, one: usize, from: Millis, until: Millis) -> bool {
-        self.well(one, from, until) && self.during(from, until).all(|s| !s.stopped[one])
+    /// As [`was_connected`](Self::was_connected), and without any stall.
+    fn was_running(&self, one: usize, from: Millis, until: Millis) -> bool {
+        self.was_connected(one, from, until) && self.during(from, until).all(|s| !s.stopped[one])
     }
 
     /// Returns the process of a router at that time, if it has this start number.
-    fn life(&self, one: usize, start: u64, at: Millis) -> Option<usize> {
-        let life = self.lives[one].iter().position(|(from, until)| *from <= at && at < *until)?;
+    fn process_at(&self, one: usize, start: u64, at: Millis) -> Option<usize> {
+        let life = self.processes[one].iter().position(|(from, until)| *from <= at && at < *until)?;
         (self.starts[one].get(life) == Some(&start)).then_some(life)
     }
 
     /// Returns whether a router is running at that time or resumes before the end.
-    fn wakes(&self, one: usize, at: Millis) -> bool {
+    fn resumes(&self, one: usize, at: Millis) -> bool {
         !self.stops[one].iter().any(|(from, until)| *from <= at && at <= *until && *until >= self.end)
     }
 
     /// Returns whether a router was down, stalled or disconnected at some time in the interval.
     fn disturbed(&self, one: usize, from: Millis, until: Millis) -> bool {
-        !self.awake(one, from, until)
+        !self.was_running(one, from, until)
     }
 }
 
 /// Returns which routers have routes to and from a majority, themselves included, through running routers.
-fn joined(alive: &[bool], stopped: &[bool], cuts: &[Cut]) -> Vec<bool> {
+fn connected(alive: &[bool], stopped: &[bool], cuts: &[Cut]) -> Vec<bool> {
     let count = alive.len();
     let runs: Vec<usize> = (0..count).filter(|one| alive[*one] && !stopped[*one]).collect();
     if cuts.is_empty() {
@@ -259,21 +259,21 @@
 }
 
 /// Compares all events, which are in order of time, with the ground truth.
-pub fn evaluate(truth: &GroundTruth, said: &[LoggedEvent]) -> Figures {
+pub fn evaluate(truth: &GroundTruth, logged: &[LoggedEvent]) -> Figures {
     let mut figures = Figures::default();
-    gone(truth, said, &mut figures);
-    deaths(truth, said, &mut figures);
-    heals(truth, said, &mut figures);
-    last(truth, said, &mut figures);
+    check_gone(truth, logged, &mut figures);
+    check_deaths(truth, logged, &mut figures);
+    check_recovery(truth, logged, &mut figures);
+    check_final_views(truth, logged, &mut figures);
     figures
 }
 
 /// Each router's quorum status over time, by router and process.
 type StatusHistory = BTreeMap<(usize, usize), Vec<(Millis, QuorumStatus, u32)>>;
 
-fn status_history(said: &[LoggedEvent]) -> StatusHistory {
+fn status_history(logged: &[LoggedEvent]) -> StatusHistory {
     let mut all = StatusHistory::new();
-    for one in said {
+    for one in logged {
         if let FleetEvent::StatusChanged { status, term, since } = one.event {
             all.entry((one.by, one.start)).or_default().push((since, status, term));
         }
@@ -283,18 +283,19 @@
 
 /// Checks events that call a router gone: false ones, and those before that router knew that it was cut
 /// off.
-fn gone(truth: &GroundTruth, said: &[LoggedEvent], figures: &mut Figures) {
-    let status_history = status_history(said);
-    for one in said {
+fn check_gone(truth: &GroundTruth, logged: &[LoggedEvent], figures: &mut Figures) {
+    let status_history = status_history(logged);
+    for one in logged {
         let FleetEvent::MemberChanged { other, start, term, state: State::Gone } = one.event else {
             continue;
         };
-        if truth.well(other, one.at - REJOIN_LIMIT_MS, one.at) {
+        if truth.was_connected(other, one.at - REJOIN_LIMIT_MS, one.at) {
             figures.false_gone += 1;
             figures.note(format!("{} called {other} gone at {:.0}, which was well", one.by, one.at));
         }
         // A dead router knows nothing, and one that never resumes logs nothing.
-        let Some(life) = truth.life(other, start, one.at).filter(|_| truth.wakes(other, one.at)) else {
+        let Some(life) = truth.process_at(other, start, one.at).filter(|_| truth.resumes(other, one.at))
+        else {
             continue;
         };
         let Some(known) = status_history.get(&(other, life)) else { continue };
@@ -317,9 +318,9 @@
 /// events for each pair takes too long in a large fleet.
 type ByPair = BTreeMap<(usize, usize), Vec<(Millis, State)>>;
 
-fn by_pair(said: &[LoggedEvent]) -> ByPair {
+fn by_pair(logged: &[LoggedEvent]) -> ByPair {
     let mut all = ByPair::new();
-    for one in said {
+    for one in logged {
         if let FleetEvent::MemberChanged { other, state, .. } = one.event {
             all.entry((one.by, other)).or_default().push((one.at, state));
         }
@@ -328,11 +329,11 @@
 }
 
 /// Measures how soon deaths are detected.
-fn deaths(truth: &GroundTruth, said: &[LoggedEvent], figures: &mut Figures) {
-    let pairs = by_pair(said);
+fn check_deaths(truth: &GroundTruth, logged: &[LoggedEvent], figures: &mut Figures) {
+    let pairs = by_pair(logged);
     for (at, dead) in &truth.kills {
         let back =
-            truth.lives[*dead].iter().map(|(from, _)| *from).find(|from| from >= at).unwrap_or(truth.end);
+            truth.processes[*dead].iter().map(|(from, _)| *from).find(|from| from >= at).unwrap_or(truth.end);
         for by in (0..truth.routers).filter(|by| by != dead) {
             let events = || pairs.get(&(by, *dead)).into_iter().flatten().copied();
             // A router that suspected it before logs nothing new.
@@ -341,7 +342,7 @@
             }
             let mut first =
                 |wanted: &[State], within: Millis, times: &mut dyn FnMut(&mut Figures, Millis)| {
-                    if back < at + within || !truth.awake(by, at - REJOIN_LIMIT_MS, at + within) {
+                    if back < at + within || !truth.was_running(by, at - REJOIN_LIMIT_MS, at + within) {
                         return;
                     }
                     let noticed = events().find(|(when, state)| when >= at && wanted.contains(state));
@@ -359,11 +360,11 @@
 }
 
 /// Measures how soon a disturbed router recovers after a heal or a resumption.
-fn heals(truth: &GroundTruth, said: &[LoggedEvent], figures: &mut Figures) {
+fn check_recovery(truth: &GroundTruth, logged: &[LoggedEvent], figures: &mut Figures) {
     let window = REJOIN_LIMIT_MS + 500.0;
     // Events about each router: its own quorum status, and its state as seen by others.
     let mut about: BTreeMap<usize, Vec<&LoggedEvent>> = BTreeMap::new();
-    for one in said {
+    for one in logged {
         let whom = match one.event {
             FleetEvent::StatusChanged { .. } => one.by,
             FleetEvent::MemberChanged { other, .. } => other,
@@ -372,41 +373,41 @@
     }
     for heal in &truth.heals {
         for one in 0..truth.routers {
-            let hurt = truth.disturbed(one, heal - 50.0, *heal);
-            if !hurt || !truth.awake(one, heal + 1.0, heal + window) {
+            let disturbed = truth.disturbed(one, heal - 50.0, *heal);
+            if !disturbed || !truth.was_running(one, heal + 1.0, heal + window) {
                 continue;
             }
             // Find the first time at which it has a majority and all other healthy routers see it alive.
             let others = (0..truth.routers).filter(|by| *by != one);
-            let mut without: BTreeSet<usize> =
-                others.filter(|by| truth.awake(*by, heal - 10_000.0, heal + window)).collect();
-            let (watched, mut stands, mut well) = (without.clone(), false, f64::INFINITY);
-            without.clear();
+            let mut unaware: BTreeSet<usize> =
+                others.filter(|by| truth.was_running(*by, heal - 10_000.0, heal + window)).collect();
+            let (observers, mut has_majority, mut recovered_at) = (unaware.clone(), false, f64::INFINITY);
+            unaware.clear();
             for s in about.get(&one).into_iter().flatten().filter(|s| s.at <= heal + window) {
                 match s.event {
                     FleetEvent::StatusChanged { status, .. } if s.by == one => {
-                        stands = status == QuorumStatus::Majority
+                        has_majority = status == QuorumStatus::Majority
                     }
                     FleetEvent::MemberChanged { other, state, .. }
-                        if other == one && watched.contains(&s.by) =>
+                        if other == one && observers.contains(&s.by) =>
                     {
                         match state {
-                            State::Alive => without.remove(&s.by),
-                            _ => without.insert(s.by),
+                            State::Alive => unaware.remove(&s.by),
+                            _ => unaware.insert(s.by),
                         };
                     }
                     _ => continue,
                 }
-                if !stands || !without.is_empty() {
-                    well = f64::INFINITY;
-                } else if well.is_infinite() {
-                    well = s.at;
+                if !has_majority || !unaware.is_empty() {
+                    recovered_at = f64::INFINITY;
+                } else if recovered_at.is_infinite() {
+                    recovered_at = s.at;
                 }
-                if well.is_finite() && s.at > *heal {
+                if recovered_at.is_finite() && s.at > *heal {
                     break;
                 }
             }
-            let took = if well.is_finite() { (well - heal).max(0.0) } else { 99_999.0 };
+            let took = if recovered_at.is_finite() { (recovered_at - heal).max(0.0) } else { 99_999.0 };
             if took > REJOIN_LIMIT_MS {
                 figures.note(format!("{one} was not back {took:.0} ms after {heal:.0}"));
             }
@@ -416,11 +417,11 @@
 }
 
 /// Checks whether all views are right at the end, and since when.
-fn last(truth: &GroundTruth, said: &[LoggedEvent], figures: &mut Figures) {
+fn check_final_views(truth: &GroundTruth, logged: &[LoggedEvent], figures: &mut Figures) {
     let Some(end) = truth.intervals.last() else { return };
     let mut seen: BTreeMap<(usize, usize), (Millis, State)> = BTreeMap::new();
     let mut starts: BTreeMap<usize, usize> = BTreeMap::new();
-    for one in said {
+    for one in logged {
         let start = starts.entry(one.by).or_default();
         if one.start > *start {
             // A new process has none of its predecessor's knowledge.
@@ -432,20 +433,20 @@
         }
     }
     let mut since = end.from;
-    let mut good = true;
+    let mut all_right = true;
     for by in (0..truth.routers).filter(|by| end.alive[*by]) {
         for other in (0..truth.routers).filter(|other| *other != by) {
             let right = |state: State| (state == State::Alive) == end.alive[other];
             match seen.get(&(by, other)) {
                 Some((at, state)) if right(*state) => since = since.max(*at),
                 last_event => {
-                    good = false;
+                    all_right = false;
                     figures.note(format!("at the end {by} has {other} as {last_event:?}"));
                 }
             }
         }
     }
-    figures.views_differ_ms = good.then_some(since - end.from);
+    figures.views_differ_ms = all_right.then_some(since - end.from);
 }
 
 #[cfg(test)]
--- a/crates/frostturn-lab/src/fleet/sim.rs
+++ b/crates/frostturn-lab/src/fleet/sim.rs
@@ -58,7 +58,7 @@
 #[derive(Debug)]
 pub struct SimulationResult {
     /// Events in order of time.
-    pub said: Vec<LoggedEvent>,
+    pub logged: Vec<LoggedEvent>,
     /// Start numbers of each router.
     pub starts: Vec<Vec<u64>>,
     /// Cost of the run.
@@ -78,10 +78,10 @@
         .iter()
         .map(cost)
         .fold((0.0, 0.0), |most: (f64, f64), one| (most.0.max(one.0), most.1.max(one.1)));
-    sim.said.sort_by(|a, b| a.at.total_cmp(&b.at));
+    sim.logged.sort_by(|a, b| a.at.total_cmp(&b.at));
     let starts = sim.nodes.iter().map(|node| node.starts.clone()).collect();
     let cost = Cost { datagrams_s: most.0, bytes_s: most.1 };
-    SimulationResult { said: sim.said, starts, cost }
+    SimulationResult { logged: sim.logged, starts, cost }
 }
 
 struct Sim {
@@ -94,7 +94,7 @@
     now: Millis,
     cuts: Vec<Cut>,
     link_behaviour: Link,
-    said: Vec<LoggedEvent>,
+    logged: Vec<LoggedEvent>,
     rng: StdRng,
     seed: u64,
 }
@@ -136,7 +136,7 @@
             now: 0.0,
             cuts: Vec::new(),
             link_behaviour: Link::default(),
-            said: Vec::new(),
+            logged: Vec::new(),
             rng,
             seed,
         };
@@ -252,7 +252,7 @@
                 }
                 Effect::Stalled(_) | Effect::StartRaised(_) => continue,
             };
-            self.said.push(LoggedEvent { at: self.now, by: at, start, event });
+            self.logged.push(LoggedEvent { at: self.now, by: at, start, event });
         }
     }
 
--- a/crates/frostturn-lab/src/fleet/sim/tests.rs
+++ b/crates/frostturn-lab/src/fleet/sim/tests.rs
@@ -7,10 +7,10 @@
 
 fn played(seed: u64, routers: usize) -> (Figures, Cost) {
     let schedule = Schedule::draw(seed, routers, SPAN_MS);
-    let SimulationResult { said, starts, cost } = simulate(&schedule, routers, seed, SPAN_MS);
+    let SimulationResult { logged, starts, cost } = simulate(&schedule, routers, seed, SPAN_MS);
     let done: Vec<(Millis, FaultAction)> =
         schedule.0.iter().map(|step| (step.at_ms, step.what.clone())).collect();
-    (evaluate(&GroundTruth::new(0.0, &done, starts, SPAN_MS), &said), cost)
+    (evaluate(&GroundTruth::new(0.0, &done, starts, SPAN_MS), &logged), cost)
 }
 
 #[test]
@@ -41,8 +41,8 @@
     }
 }
 
-/// A third of the routers dies while links lose three datagrams in ten. Coordinators then have to gather
-/// the membership epochs, since the observation tables of single routers are incomplete.
+/// A third of the routers dies while links lose three datagrams in ten. The coordinators gather the names
+/// of the dead in their rounds; routers don't gather them by themselves at these sizes.
 #[test]
 fn the_death_of_a_third_is_detected_in_time_over_lossy_links() {
     for (routers, seed) in [(24, 13), (100, 1)] {
--- a/crates/frostturn-lab/src/machines.rs
+++ b/crates/frostturn-lab/src/machines.rs
@@ -224,17 +224,17 @@
     /// Listens on one endpoint, as its failure permits.
     fn listen(self: Arc<Self>, at: usize, first: Socket) {
         let endpoint = &self.endpoints[at];
-        let (mut listener, mut is, mut replaced) = (Some(first), Failure::None, 0);
+        let (mut listener, mut applied, mut replaced) = (Some(first), Failure::None, 0);
         let mut fillers = Vec::new();
         while !self.world.ended() {
             let failure = endpoint.failure();
             let again = endpoint.replaced.load(Ordering::SeqCst) != replaced;
-            if failure != is || again {
+            if failure != applied || again {
                 if again
                     || failure.closed()
                     || failure == Failure::BlackHole
                     || listener.is_none()
-                    || is == Failure::BlackHole
+                    || applied == Failure::BlackHole
                 {
                     drop(listener.take());
                     fillers.clear();
@@ -247,7 +247,7 @@
                         let _ = std::fs::write(path, "no socket");
                     }
                 }
-                (is, replaced) = (failure, endpoint.replaced.load(Ordering::SeqCst));
+                (applied, replaced) = (failure, endpoint.replaced.load(Ordering::SeqCst));
             }
             if listener.is_none() && !failure.closed() {
                 let backlog = if failure == Failure::BlackHole { 0 } else { 128 };
@@ -480,35 +480,35 @@
                 .map(|(_, v)| v)
         };
         let object = get("item").and_then(|item| u64::from_str_radix(item, 16).ok());
-        let mut held = self.cached.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
+        let mut cached = self.cached.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
         let now = unix_ms();
         let purged = self.purged.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
         let purged = object.and_then(|object| purged.get(&object).copied());
         if let (Some(object), Some(made)) = (object, purged.filter(|made| now >= made + PURGE_DELAY_MS)) {
-            held.retain(|held, stamp| *held != object || *stamp >= made);
+            cached.retain(|cached, stamp| *cached != object || *stamp >= made);
         }
         // A cached copy that is young enough is served; otherwise it is fetched, if a source is named.
         let oldest = get("newer").and_then(|ms| ms.parse::<f64>().ok()).filter(|ms| *ms > 0.0);
-        let copy = object.and_then(|object| held.get(&object).copied());
+        let copy = object.and_then(|object| cached.get(&object).copied());
         let young = copy.filter(|stamp| oldest.is_none_or(|oldest| now - stamp <= oldest));
-        let (tell, stamp) = match (young, get("fetch")) {
+        let (source, stamp) = match (young, get("fetch")) {
             (Some(stamp), _) => ("cached", stamp),
             (None, Some(_)) => ("fetched", now),
             (None, None) if object.is_none() || self.kind == "core" => ("fetched_root", now),
             (None, None) => return frame(&[id, b"LACK", b"-", b""]),
         };
         if let Some(object) = object {
-            held.insert(object, stamp);
+            cached.insert(object, stamp);
             if self.kind == "std" {
                 let mut seen = self.world.observations();
                 let (from, all) = &mut seen.cache_answers[usize::from(object % GROUPS != PHOTOS)];
-                (*from, *all) = (*from + u64::from(tell == "cached"), *all + 1);
+                (*from, *all) = (*from + u64::from(source == "cached"), *all + 1);
             }
         }
         let mut bytes = format!("{stamp:.0}\n").into_bytes();
         bytes.extend_from_slice(body);
         bytes.resize(BODY_BYTES, b'.');
-        let fields = format!("tell={tell},version=ab,stamp={stamp:.0},took=1,{}", self.load_report(true));
+        let fields = format!("tell={source},version=ab,stamp={stamp:.0},took=1,{}", self.load_report(true));
         frame(&[id, b"DONE", fields.as_bytes(), &bytes])
     }
 }
--- a/crates/frostturn-lab/src/rig.rs
+++ b/crates/frostturn-lab/src/rig.rs
@@ -60,14 +60,14 @@
         let site = Site::start(boxes, setup)?;
         // Free ports: bound until all are known, so that no two are equal, and on a reserved address, so
         // that they stay free until the routers start and while one of them is down.
-        let held: Vec<UdpSocket> = (0..routers)
+        let reserved: Vec<UdpSocket> = (0..routers)
             .map(|_| UdpSocket::bind(site.world.loopback.any_port()))
             .collect::<Result<_, _>>()
             .map_err(io)?;
         let listens: Vec<SocketAddr> =
-            held.iter().map(UdpSocket::local_addr).collect::<Result<_, _>>().map_err(io)?;
+            reserved.iter().map(UdpSocket::local_addr).collect::<Result<_, _>>().map_err(io)?;
         let relays = Relays::start(&listens, seed).map_err(io)?;
-        drop(held);
+        drop(reserved);
         let mut slots = Vec::new();
         for (at, listen) in listens.into_iter().enumerate() {
             let mut text = format!("(frostturn (fleet (name \"lab\") (listen \"{listen}\") {times}\n");
@@ -190,9 +190,9 @@
 
     /// Waits until a condition holds. The error gives the description and how all routers saw the fleet at
     /// the end.
-    pub fn wait_until(&self, what: &str, so: impl Fn(&Self) -> bool) -> Result<(), String> {
+    pub fn wait_until(&self, what: &str, condition: impl Fn(&Self) -> bool) -> Result<(), String> {
         let until = Instant::now() + WAIT_TIMEOUT;
-        while !so(self) {
+        while !condition(self) {
             if Instant::now() > until {
                 let mut shown = String::new();
                 for at in 0..self.slots.len() {
@@ -206,8 +206,8 @@
     }
 
     /// Returns whether a router has this quorum status.
-    pub fn has_status(&self, at: usize, standing: &str) -> bool {
-        self.view(at).is_some_and(|view| view.me.standing == standing)
+    pub fn has_status(&self, at: usize, status: &str) -> bool {
+        self.view(at).is_some_and(|view| view.me.standing == status)
     }
 
     /// Returns whether router `at` sees each of the others in this state.
--- a/crates/frostturn-lab/src/scenarios/fleet.rs
+++ b/crates/frostturn-lab/src/scenarios/fleet.rs
@@ -259,19 +259,19 @@
 
 /// Compares the routers' logged events with the injected faults.
 fn judged(rig: &Rig, begin: Millis, done: &[(Millis, FaultAction)], end: Millis) -> (Figures, Vec<String>) {
-    let (mut said, mut starts): (Vec<LoggedEvent>, Vec<Vec<u64>>) = Default::default();
+    let (mut logged, mut starts): (Vec<LoggedEvent>, Vec<Vec<u64>>) = Default::default();
     for (at, slot) in rig.slots.iter().enumerate() {
         let mut numbers = Vec::new();
         for (start, log) in slot.logs.iter().enumerate() {
             let text = std::fs::read_to_string(log).unwrap_or_default();
-            let (words, number) = audit::parse_log(&text, at, start);
-            said.extend(words);
+            let (events, number) = audit::parse_log(&text, at, start);
+            logged.extend(events);
             numbers.push(number);
         }
         starts.push(numbers);
     }
-    said.sort_by(|a, b| a.at.total_cmp(&b.at));
-    let figures = evaluate(&GroundTruth::new(begin, done, starts, end), &said);
+    logged.sort_by(|a, b| a.at.total_cmp(&b.at));
+    let figures = evaluate(&GroundTruth::new(begin, done, starts, end), &logged);
     let notes = figures.examples.clone();
     (figures, notes)
 }
--- a/crates/frostturn-lab/src/scenarios/fleet_sim.rs
+++ b/crates/frostturn-lab/src/scenarios/fleet_sim.rs
@@ -26,10 +26,10 @@
 
 fn played(routers: usize, seed: u64) -> Row {
     let schedule = Schedule::draw(seed, routers, SPAN_MS);
-    let SimulationResult { said, starts, cost } = simulate(&schedule, routers, seed, SPAN_MS);
+    let SimulationResult { logged, starts, cost } = simulate(&schedule, routers, seed, SPAN_MS);
     let done: Vec<(Millis, FaultAction)> =
         schedule.0.into_iter().map(|step| (step.at_ms, step.what)).collect();
-    Row { routers, seed, figures: evaluate(&GroundTruth::new(0.0, &done, starts, SPAN_MS), &said), cost }
+    Row { routers, seed, figures: evaluate(&GroundTruth::new(0.0, &done, starts, SPAN_MS), &logged), cost }
 }
 
 /// Simulates all sizes.
--- a/crates/frostturn-lab/src/scenarios/service.rs
+++ b/crates/frostturn-lab/src/scenarios/service.rs
@@ -50,7 +50,7 @@
     unsaved: u32,
     disk_fails: bool,
     /// Excluded boxes: index, time of the accepted call, time of the call that included the box.
-    out: Vec<(usize, Millis, Millis)>,
+    exclusions: Vec<(usize, Millis, Millis)>,
 }
 
 impl Figures {
@@ -80,7 +80,7 @@
     let site = Site::start(BOXES, &options.setup())?;
     let (program, seconds) = (options.daemon.as_deref(), options.seconds.unwrap_or(SECONDS));
     let mut number = 0;
-    let mut how = |site: &Site, listen: SocketAddr, spawn: bool| {
+    let mut start_process = |site: &Site, listen: SocketAddr, spawn: bool| {
         number += 1;
         let (known, seed) = (site.discovery.known(), options.seed + number as u64);
         let shared_listener = Some(SharedListener { listen, number });
@@ -105,7 +105,7 @@
             Daemon::start(&start)
         }
     };
-    let mut current = how(&site, site.world.loopback.any_port(), false)?;
+    let mut current = start_process(&site, site.world.loopback.any_port(), false)?;
     let (world, address, rate) = (site.world.clone(), current.address, options.rate.unwrap_or(RATE));
     let (start, seed) = (world.now(), options.seed);
     let load = thread::spawn(move || clients::run(&world, address, rate, seconds * 1e3, seed));
@@ -115,20 +115,22 @@
     let (mut upgrade_at, mut call_at) = (start + QUIET_MS, start + QUIET_MS / 2.0);
     while site.world.now() < start + seconds * 1e3 {
         let now = site.world.now();
-        for (_, told, retired) in &mut ending {
-            if !*retired && now >= *told + LEFT_MS {
+        for (_, terminated_at, retired) in &mut ending {
+            if !*retired && now >= *terminated_at + LEFT_MS {
                 *retired = true;
                 site.world.observations().retired_before = now;
             }
         }
-        while ending.first().is_some_and(|(_, told, _)| now >= *told + 4000.0) {
+        while ending.first().is_some_and(|(_, terminated_at, _)| now >= *terminated_at + 4000.0) {
             let (old, ..) = ending.remove(0);
             figures.bad_ends += u32::from(!old.wait_for_exit());
         }
         if now >= call_at {
             call_at = now + CALL_MS;
             // Either process may receive calls while two run.
-            let old = ending.last().and_then(|(old, told, _)| old.ops.filter(|_| now < *told + 500.0));
+            let old = ending
+                .last()
+                .and_then(|(old, terminated_at, _)| old.ops.filter(|_| now < *terminated_at + 500.0));
             let ops = old.filter(|_| rng.random()).or(current.ops);
             operate(&site, &mut figures, &mut out, ops, &mut rng);
         }
@@ -141,19 +143,19 @@
             stall_calls(current.ops);
             if rng.random_range(0..3) == 0 {
                 // A process that is killed at any moment of its start, which must have no effect.
-                let dies = how(&site, current.address, true)?;
+                let dies = start_process(&site, current.address, true)?;
                 thread::sleep(Duration::from_millis(rng.random_range(0..40)));
                 drop(dies);
                 figures.deaths += 1;
             }
             let from = Instant::now();
-            let new = how(&site, current.address, false)?;
+            let new = start_process(&site, current.address, false)?;
             figures.ready_s = figures.ready_s.max(from.elapsed().as_secs_f64());
             let old = std::mem::replace(&mut current, new);
-            let told = site.world.now();
-            figures.upgrades.push(told);
+            let terminated_at = site.world.now();
+            figures.upgrades.push(terminated_at);
             old.terminate();
-            ending.push((old, told, false));
+            ending.push((old, terminated_at, false));
         }
         thread::sleep(Duration::from_millis(5));
     }
@@ -161,18 +163,20 @@
         figures.bad_ends += u32::from(!old.wait_for_exit());
     }
     let end = site.world.now();
-    figures.out.extend(out.into_iter().map(|(at, since)| (at, since, end)));
+    figures.exclusions.extend(out.into_iter().map(|(at, since)| (at, since, end)));
     let load = load.join().map_err(|_| "the clients panicked".to_owned())?;
     let (mut report, seen, ended) = site.finish("service", seed, current, &load);
     ended?;
     let upgrades = figures.upgrades.len() as f64;
     // Sends are inferred from arrivals: those after an upgrade at a box that was excluded, allowing for the
     // time until both processes know of the call.
-    let out_at = |box_: usize, at: Millis| {
-        figures.out.iter().any(|(one, from, to)| *one == box_ && at > from + HEARD_MS && at < *to)
+    let out_at = |machine: usize, at: Millis| {
+        figures.exclusions.iter().any(|(one, from, to)| *one == machine && at > from + HEARD_MS && at < *to)
     };
-    let after = |at: Millis| figures.upgrades.iter().any(|told| at > *told && at < told + AROUND_MS);
-    let wrong = seen.arrivals.iter().filter(|(box_, at)| after(*at) && out_at(*box_, *at)).count();
+    let after = |at: Millis| {
+        figures.upgrades.iter().any(|terminated_at| at > *terminated_at && at < terminated_at + AROUND_MS)
+    };
+    let wrong = seen.arrivals.iter().filter(|(machine, at)| after(*at) && out_at(*machine, *at)).count();
     let share = |around: bool| {
         let those = load.times.iter().filter(|(at, ..)| *at > start + QUIET_MS / 2.0 && after(*at) == around);
         let (asked, earned) = those.fold((0.0, 0.0), |(asked, earned), (_, worth, good)| {
@@ -180,17 +184,17 @@
         });
         earned / f64::max(asked, 1.0)
     };
-    let door = (load.crossed + load.unsent) as f64 / upgrades.max(1.0);
+    let connection_losses = (load.crossed + load.unsent) as f64 / upgrades.max(1.0);
     let bounds = &mut report.bounds;
     bounds.push(Bound::least("upgrades", upgrades, ((seconds - 5.0) / 6.0).floor()));
-    bounds.push(Bound::most("door_losses_per_upgrade", door, 2.0));
+    bounds.push(Bound::most("door_losses_per_upgrade", connection_losses, 2.0));
     bounds.push(Bound::most("ready_within_s", figures.ready_s, 6.0));
     bounds.push(Bound::most("ops_answer_max_ms", figures.answer_ms, 1000.0));
     bounds.push(Bound::most("ops_answers_wrong", f64::from(figures.wrong_answers), 0.0));
     bounds.push(Bound::least("served_ratio_during_upgrade", share(true) / share(false), 0.97));
     bounds.push(Bound::most("cold_after_upgrade", wrong as f64, 0.0));
     bounds.push(Bound::most("bad_ends", f64::from(figures.bad_ends), 0.0));
-    bounds.push(Bound::least("boxes_taken_out", figures.out.len() as f64, 3.0));
+    bounds.push(Bound::least("boxes_taken_out", figures.exclusions.len() as f64, 3.0));
     let Figures { deaths, unsaved, .. } = figures;
     println!(
         "upgrades: {upgrades}; killed at their start: {deaths}; calls that could not be saved: {unsaved}"
@@ -228,7 +232,7 @@
         }
         if figures.call(ops, &Call::Include(site.boxes[at].name.clone())) {
             out.remove(0);
-            figures.out.push((at, since, now));
+            figures.exclusions.push((at, since, now));
         } else {
             site.world.observations().checker.set_drained(at, Some(now));
         }
--- a/crates/frostturn-lab/src/scenarios/soak/mod.rs
+++ b/crates/frostturn-lab/src/scenarios/soak/mod.rs
@@ -57,14 +57,14 @@
     /// The old process of an upgrade, which is no longer the current one.
     ending: Option<Daemon>,
     /// SIGTERM has been sent, so that a second signal doesn't delay the kill.
-    told: bool,
+    terminating: bool,
     evacuated_at: Option<Millis>,
     processes: usize,
 }
 
 #[derive(Default)]
 struct Figures {
-    held: u64,
+    still_connected: u64,
     killed: u64,
     bad_ends: u64,
     not_ready: u64,
@@ -145,8 +145,8 @@
     fn start_routers(&mut self) -> Result<(), String> {
         for router in 0..ROUTERS {
             let daemon = self.spawn(router, self.site.world.loopback.any_port())?;
-            let (ending, told, evacuated_at) = (None, false, None);
-            self.slots.push(Slot { current: Some(daemon), ending, told, evacuated_at, processes: 1 });
+            let (ending, terminating, evacuated_at) = (None, false, None);
+            self.slots.push(Slot { current: Some(daemon), ending, terminating, evacuated_at, processes: 1 });
         }
         for (slot, reach) in self.slots.iter_mut().zip(&self.clients.routers) {
             let Some(daemon) = &mut slot.current else { continue };
@@ -179,7 +179,7 @@
             let now = self.now();
             while let Some(due) = self.later.iter().position(|(at, _)| *at <= now) {
                 let (_, what) = self.later.swap_remove(due);
-                self.do_later(what);
+                self.carry_out(what);
             }
             thread::sleep(Duration::from_millis(1));
         }
@@ -247,7 +247,7 @@
         let Some(daemon) = self.signalled_process(router) else { return };
         daemon.terminate();
         let slot = &mut self.slots[router];
-        if std::mem::replace(&mut slot.told, true) {
+        if std::mem::replace(&mut slot.terminating, true) {
             return;
         }
         self.figures.ends += 1;
@@ -259,20 +259,20 @@
         self.later.push((now + longest + KILL_MORE_MS, Later::Kill(router)));
     }
 
-    fn do_later(&mut self, what: Later) {
+    fn carry_out(&mut self, what: Later) {
         self.site.world.event(|| format!("{what:?}"));
         match what {
             Later::FrontLeaves(router) => {
                 // The router may have rejoined since.
                 let slot = &self.slots[router];
-                let leaves = slot.evacuated_at.is_some() || (slot.told && slot.ending.is_none());
+                let leaves = slot.evacuated_at.is_some() || (slot.terminating && slot.ending.is_none());
                 lock(&self.clients.routers[router]).accepts_connections &= !leaves;
             }
             Later::Audit(router) => self.audit(router),
             Later::Kill(router) => self.kill(router),
             Later::ReadyBy(router) => {
                 let slot = &self.slots[router];
-                if slot.evacuated_at.is_none() && !slot.told && !self.call(router, &Call::Ready) {
+                if slot.evacuated_at.is_none() && !slot.terminating && !self.call(router, &Call::Ready) {
                     self.figures.not_ready += 1;
                 }
             }
@@ -287,11 +287,12 @@
             return; // The router has rejoined since, and may have been evacuated again.
         }
         let sessions = lock(&self.clients.sessions);
-        let held = sessions.iter().filter(|open| open.router == router);
-        let held: Vec<String> = held.filter_map(|open| open.should_be_closed(now, RECENT_MS)).collect();
+        let connected = sessions.iter().filter(|open| open.router == router);
+        let connected: Vec<String> =
+            connected.filter_map(|open| open.should_be_closed(now, RECENT_MS)).collect();
         drop(sessions);
-        self.figures.held += held.len() as u64;
-        for one in held {
+        self.figures.still_connected += connected.len() as u64;
+        for one in connected {
             self.figures.examples.push(format!("still connected: router {router} at {now:.0} ms, {one}"));
         }
     }
@@ -334,7 +335,7 @@
             violations += lines.len();
             examples.extend(lines);
         }
-        let Figures { held, killed, bad_ends, not_ready, evacuations, ends, .. } = self.figures;
+        let Figures { still_connected, killed, bad_ends, not_ready, evacuations, ends, .. } = self.figures;
         examples.extend(self.figures.examples);
         println!("  {evacuations} evacuations, {ends} terminations, {killed} of them by SIGKILL");
         let mut report = Report { scenario: "soak", seed: self.options.seed, ..Report::default() };
@@ -342,7 +343,7 @@
         (report.refused, report.failed) = (refused, failed);
         (report.rules, report.examples) = (rules, examples);
         report.bounds = vec![
-            Bound::most("held_past_drain", held as f64, 0.0),
+            Bound::most("held_past_drain", still_connected as f64, 0.0),
             Bound::most("violations", violations as f64, 0.0),
             Bound::most("bad_ends", bad_ends as f64, 0.0),
             Bound::most("killed_running", killed as f64, 0.0),
--- a/crates/frostturn-lab/src/scenarios/soak/schedule.rs
+++ b/crates/frostturn-lab/src/scenarios/soak/schedule.rs
@@ -35,7 +35,7 @@
     Reload(usize),
     /// Opens a crowd of connections that send nothing and stay open.
     Crowd(usize),
-    /// All addresses of a box fail in this manner, and work again.
+    /// All endpoints of a box fail in this manner, and work again.
     Fail(usize, Failure),
     Heal(usize),
     /// The discovery service announces that a box is leaving.
@@ -105,10 +105,10 @@
         steps.push((from + rng.random_range(-300.0..1500.0), Act::Reload(router)));
     }
     // Signals come in series: a second SIGTERM, and a SIGHUP during the shutdown.
-    let told = steps.iter().find(|(_, act)| *act == Act::Terminate(router)).map(|(at, _)| *at);
-    if let Some(told) = told.filter(|_| rng.random()) {
-        steps.push((told + rng.random_range(1.0..900.0), Act::Terminate(router)));
-        steps.push((told + rng.random_range(1.0..900.0), Act::Reload(router)));
+    let terminated_at = steps.iter().find(|(_, act)| *act == Act::Terminate(router)).map(|(at, _)| *at);
+    if let Some(terminated_at) = terminated_at.filter(|_| rng.random()) {
+        steps.push((terminated_at + rng.random_range(1.0..900.0), Act::Terminate(router)));
+        steps.push((terminated_at + rng.random_range(1.0..900.0), Act::Reload(router)));
     }
     if rng.random_range(0..3) == 0 {
         steps.push((from + rng.random_range(-500.0..3000.0), Act::Crowd(router)));
--- a/crates/frostturn-lab/tests/fleet.rs
+++ b/crates/frostturn-lab/tests/fleet.rs
@@ -46,18 +46,18 @@
 
 /// Returns when any router first called this one gone.
 fn first_gone(rig: &Rig, one: usize) -> Option<f64> {
-    let gone = |said: &LoggedEvent| matches!(said.event, FleetEvent::MemberChanged { other, state: Gone, .. } if other == one);
+    let gone = |logged: &LoggedEvent| matches!(logged.event, FleetEvent::MemberChanged { other, state: Gone, .. } if other == one);
     all(rig)
         .iter()
         .flat_map(|by| logged_events(rig, *by))
         .filter(gone)
-        .map(|said| said.at)
+        .map(|logged| logged.at)
         .min_by(f64::total_cmp)
 }
 
 /// Returns when a router first lost its majority, by its own events.
 fn first_cut_off(rig: &Rig, one: usize) -> Option<f64> {
-    logged_events(rig, one).iter().find_map(|said| match said.event {
+    logged_events(rig, one).iter().find_map(|logged| match logged.event {
         FleetEvent::StatusChanged { status: QuorumStatus::CutOff, since, .. } => Some(since),
         _ => None,
     })
@@ -210,9 +210,9 @@
     .unwrap();
     assert!(old.wait_for_exit());
     wait_until_whole(&rig, &[0, 1, 2]);
-    let blinked = |said: &LoggedEvent| matches!(said.event, FleetEvent::MemberChanged { other: 1, state, .. } if state != Alive);
-    let since = started.iter().flat_map(|(by, said)| logged_events(&rig, *by).split_off(*said));
-    assert!(!since.into_iter().any(|said| blinked(&said)), "{}", rig.log(0));
+    let blinked = |logged: &LoggedEvent| matches!(logged.event, FleetEvent::MemberChanged { other: 1, state, .. } if state != Alive);
+    let since = started.iter().flat_map(|(by, logged)| logged_events(&rig, *by).split_off(*logged));
+    assert!(!since.into_iter().any(|logged| blinked(&logged)), "{}", rig.log(0));
     // A process without a successor announces that it leaves, and nothing waits for it.
     let last = rig.slots[1].process.take().expect("it runs");
     last.terminate();
