--- a/crates/frostturn-lab/src/check.rs
+++ b/crates/frostturn-lab/src/check.rs
@@ -11,12 +11,12 @@
 
 /// Time after the announcement of a drain within which work may still arrive: the rule's one second, and 50
 /// ms.
-const DRAIN_MS: Millis = 1050.0;
+const DRAIN_LIMIT_MS: Millis = 1050.0;
 /// Time after the announcement of a purge within which an older copy may still be served.
-const PURGE_MS: Millis = 1050.0;
+const PURGE_LIMIT_MS: Millis = 1050.0;
 /// An answer later than this after the client's timeout counts as lost; the stand-ins themselves may be
 /// late.
-const LATE_MS: Millis = 100.0;
+const LATE_ANSWER_MS: Millis = 100.0;
 
 /// Answer that a client received.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -151,7 +151,7 @@
         let Answer::Served { stamp_ms } = answer else { return };
         let purged = self.purges.get(&request.object).into_iter().flatten();
         let older = |(announced, made): &&(Millis, f64)| {
-            request.sent > announced + PURGE_MS && stamp_ms > 0.0 && stamp_ms < *made
+            request.sent > announced + PURGE_LIMIT_MS && stamp_ms > 0.0 && stamp_ms < *made
         };
         if let Some((announced, made)) = purged.into_iter().find(older) {
             let (late, by, object) = (request.sent - announced, made - stamp_ms, request.object);
@@ -177,18 +177,21 @@
     /// first byte arrived. Returns true if it had arrived at a machine before.
     pub fn arrived(&mut self, id: u64, machine: usize, begun: Millis) -> bool {
         self.count_work(machine, begun);
-        if let Some(announced) = self.drained.get(&machine).filter(|announced| begun > *announced + DRAIN_MS)
+        if let Some(announced) =
+            self.drained.get(&machine).filter(|announced| begun > *announced + DRAIN_LIMIT_MS)
         {
             let late = begun - announced;
             self.rules.drain += 1;
-            self.note(format!("drain: {id:x} came to machine {machine} {late:.0} ms after the announcement"));
+            self.note(format!(
+                "drain: {id:x} arrived at machine {machine} {late:.0} ms after the announcement"
+            ));
         }
         let Some(request) = self.requests.get_mut(&id) else { return false };
         request.arrivals += 1;
         let again = request.arrivals > 1;
         if request.arrivals > request.max_attempts {
             self.rules.doubled += 1;
-            self.note(format!("doubled: {id:x} came to machine {machine} again"));
+            self.note(format!("doubled: {id:x} arrived at machine {machine} again"));
         }
         again
     }
@@ -235,12 +238,12 @@
         let mut verdict = Verdict { requests: self.requests.len() as u64, ..Verdict::default() };
         let mut lost = Vec::new();
         for (id, request) in &self.requests {
-            let by = request.sent + request.client_timeout + LATE_MS + self.grace_ms;
+            let by = request.sent + request.client_timeout + LATE_ANSWER_MS + self.grace_ms;
             if request.crossed && request.answers.is_empty() && request.arrivals == 0 {
                 continue;
             }
             let [(at, answer)] = request.answers[..] else {
-                lost.push(format!("lost: {id:x} has {} answers", request.answers.len()));
+                lost.push(format!("lost: {id:x} got {} answers", request.answers.len()));
                 continue;
             };
             if at > by {
--- a/crates/frostturn-lab/src/clients.rs
+++ b/crates/frostturn-lab/src/clients.rs
@@ -16,7 +16,7 @@
 use std::time::Duration;
 
 /// Maximum number of open requests on a connection, as in the front-end web servers.
-const MAX_OPEN: usize = 32;
+const MAX_OPEN_REQUESTS: usize = 32;
 /// A request sent within this time before its connection closed is sent again on another connection, once.
 const RESEND_WINDOW_MS: f64 = 50.0;
 /// Size of an object: 2.5 ms at the settings' full pace of 10,000 KB a second.
@@ -122,7 +122,7 @@
 impl OpenRequests {
     /// Adds a request under a free number; returns it if the connection has ended or is full.
     fn add(&mut self, sent: Sent) -> Result<u16, Sent> {
-        let free = (1..=MAX_OPEN as u16).find(|number| !self.by_number.contains_key(number));
+        let free = (1..=MAX_OPEN_REQUESTS as u16).find(|number| !self.by_number.contains_key(number));
         match free.filter(|_| !self.ended) {
             Some(number) => {
                 self.by_number.insert(number, sent);
@@ -161,7 +161,7 @@
 pub fn run(world: &Arc<World>, router: SocketAddr, rate: f64, for_ms: f64, seed: u64) -> Load {
     let mut rng = StdRng::seed_from_u64(seed);
     let gaps = Exp::new(rate / 1e3).expect("a positive rate");
-    let objects = Zipf::new(OBJECTS, 0.9).expect("sound figures");
+    let objects = Zipf::new(OBJECTS, 0.9).expect("valid parameters");
     let mut servers = WebServers::new(world, router);
     let (start, mut next) = (world.now(), world.now());
     while next < start + for_ms {
@@ -202,7 +202,7 @@
 impl WebServers {
     fn new(world: &Arc<World>, router: SocketAddr) -> Self {
         let load = Load {
-            latency: Histogram::new_with_bounds(1, 60_000_000, 3).expect("sound bounds"),
+            latency: Histogram::new_with_bounds(1, 60_000_000, 3).expect("valid bounds"),
             worth: 0.0,
             worth_served: 0.0,
             unsent: 0,
--- a/crates/frostturn-lab/src/daemon.rs
+++ b/crates/frostturn-lab/src/daemon.rs
@@ -75,8 +75,10 @@
             None => (([127, 0, 0, 1], 0).into(), String::new()),
         };
         let config = json!({
-            "name": options.name, "listen": listen.to_string(), "seed": format!("{:x}", options.seed), "board": options.discovery.to_string(),
-            "limits": { "cores": 1.0, "memory_mb": 32, "sockets": 1024 }, "known": options.known, "settings": settings(options.instances, options.deadline_scale),
+            "name": options.name, "listen": listen.to_string(), "seed": format!("{:x}", options.seed),
+            "board": options.discovery.to_string(),
+            "limits": { "cores": 1.0, "memory_mb": 32, "sockets": 1024 }, "known": options.known,
+            "settings": settings(options.instances, options.deadline_scale),
         });
         let (path, log) = (
             options.dir.join(format!("config{number}.json")),
@@ -243,8 +245,8 @@
 /// Returns the settings of the decision module for the small site.
 fn settings(instances: usize, deadline_scale: f64) -> Value {
     let class = |name: &str, aim: f64, deadline: f64, worth: f64, repeat: &str| {
-        json!({ "Name": name, "AimMs": aim, "AimStretch": 1.0, "HardLimitMs": deadline * deadline_scale, "Repeat": repeat,
-            "Worth": worth, "LateWorth": 0.2 })
+        json!({ "Name": name, "AimMs": aim, "AimStretch": 1.0, "HardLimitMs": deadline * deadline_scale,
+            "Repeat": repeat, "Worth": worth, "LateWorth": 0.2 })
     };
     json!({
         "Az": "east", "Localities": ["east"], "MachineTypes": ["std", "upper", "core"], "Instances": instances,
--- a/crates/frostturn-lab/src/fleet/check.rs
+++ b/crates/frostturn-lab/src/fleet/check.rs
@@ -291,7 +291,7 @@
         };
         if truth.was_connected(other, one.at - REJOIN_LIMIT_MS, one.at) {
             figures.false_gone += 1;
-            figures.note(format!("{} called {other} gone at {:.0}, which was well", one.by, one.at));
+            figures.note(format!("{} called {other} gone at {:.0}, which was healthy", one.by, one.at));
         }
         // A dead router knows nothing, and one that never resumes logs nothing.
         let Some(life) = truth.process_at(other, start, one.at).filter(|_| truth.resumes(other, one.at))
@@ -308,7 +308,7 @@
             figures.knows_first += 1;
             let (by, at) = (one.by, one.at);
             figures.note(format!(
-                "{by} called {other} gone in term {term} at {at:.0}, which stood in term {now}"
+                "{by} called {other} gone in term {term} at {at:.0}, which had a majority in term {now}"
             ));
         }
     }
@@ -409,7 +409,7 @@
             }
             let took = if recovered_at.is_finite() { (recovered_at - heal).max(0.0) } else { 99_999.0 };
             if took > REJOIN_LIMIT_MS {
-                figures.note(format!("{one} was not back {took:.0} ms after {heal:.0}"));
+                figures.note(format!("{one} had not recovered {took:.0} ms after the heal at {heal:.0}"));
             }
             figures.rejoin_ms.push(took);
         }
@@ -441,7 +441,7 @@
                 Some((at, state)) if right(*state) => since = since.max(*at),
                 last_event => {
                     all_right = false;
-                    figures.note(format!("at the end {by} has {other} as {last_event:?}"));
+                    figures.note(format!("at the end {by} sees {other} as {last_event:?}"));
                 }
             }
         }
--- a/crates/frostturn-lab/src/fleet/schedule.rs
+++ b/crates/frostturn-lab/src/fleet/schedule.rs
@@ -73,11 +73,11 @@
 
 /// Time without faults at the beginning, so that all routers know each other; after each fault, so that its
 /// effect shows; and at the end.
-const FIRST_MS: Millis = 4000.0;
-const AFTER_MS: Millis = 3600.0;
-pub const LAST_MS: Millis = 5500.0;
+const SETTLE_MS: Millis = 4000.0;
+const FAULT_PAUSE_MS: Millis = 3600.0;
+pub const FINAL_QUIET_MS: Millis = 5500.0;
 /// Duration of a death that must be detected.
-const DEATH_MS: Millis = 11_500.0;
+const DEATH_DURATION_MS: Millis = 11_500.0;
 
 impl Schedule {
     /// Draws a schedule of this duration for this number of routers.
@@ -85,19 +85,19 @@
         let mut rng = StdRng::seed_from_u64(seed ^ 0xf1ee_7000);
         let mut steps = Vec::new();
         let mut add = |at_ms: Millis, what: FaultAction| steps.push(Step { at_ms: at_ms.round(), what });
-        let end = span_ms - LAST_MS;
+        let end = span_ms - FINAL_QUIET_MS;
         // Long deaths, concurrent with all other faults: one router or up to a third.
         let most = (routers / 3).max(1);
         let count = if rng.random() { 1 } else { most };
         let dead = some(&mut rng, routers, count);
-        let at = FIRST_MS + rng.random_range(0.0..3000.0);
+        let at = SETTLE_MS + rng.random_range(0.0..3000.0);
         add(at, FaultAction::Kill(dead.clone()));
-        add((at + DEATH_MS).min(end), FaultAction::Start(dead.clone()));
-        let (back, mut at) = ((at + DEATH_MS).min(end), FIRST_MS + rng.random_range(0.0..1500.0));
+        add((at + DEATH_DURATION_MS).min(end), FaultAction::Start(dead.clone()));
+        let (back, mut at) = ((at + DEATH_DURATION_MS).min(end), SETTLE_MS + rng.random_range(0.0..1500.0));
         while at + 1500.0 < end {
             let for_ms = rng.random_range(2500.0..6000.0f64).min(end - at);
             let living: Vec<usize> =
-                (0..routers).filter(|one| !dead.contains(one) || at > back + AFTER_MS).collect();
+                (0..routers).filter(|one| !dead.contains(one) || at > back + FAULT_PAUSE_MS).collect();
             let mut living = living;
             living.shuffle(&mut rng);
             let one = living[0];
@@ -154,7 +154,7 @@
                 }
             }
             add(heals, FaultAction::Links(Vec::new(), calm));
-            at = heals + AFTER_MS + rng.random_range(0.0..800.0);
+            at = heals + FAULT_PAUSE_MS + rng.random_range(0.0..800.0);
         }
         steps.retain(|step| step.at_ms <= end);
         steps.sort_by(|a, b| a.at_ms.total_cmp(&b.at_ms));
--- a/crates/frostturn-lab/src/fleet/schedule/tests.rs
+++ b/crates/frostturn-lab/src/fleet/schedule/tests.rs
@@ -6,7 +6,7 @@
         let drawn = Schedule::draw(seed, 12, 40_000.0);
         assert_eq!(drawn, Schedule::draw(seed, 12, 40_000.0));
         assert_eq!(Schedule::read(&drawn.print()).as_ref(), Ok(&drawn));
-        assert!(drawn.last_step_ms() <= 40_000.0 - LAST_MS && drawn.0.len() >= 4, "{drawn:?}");
+        assert!(drawn.last_step_ms() <= 40_000.0 - FINAL_QUIET_MS && drawn.0.len() >= 4, "{drawn:?}");
         // Every killed or suspended router returns.
         let back = |step: &Step| match &step.what {
             FaultAction::Kill(these) => {
--- a/crates/frostturn-lab/src/rig.rs
+++ b/crates/frostturn-lab/src/rig.rs
@@ -56,7 +56,7 @@
         seed: u64,
         setup: &Setup,
     ) -> Result<Self, String> {
-        let io = |e: std::io::Error| format!("the fleet's links: {e}");
+        let io = |e: std::io::Error| format!("cannot set up the fleet: {e}");
         let site = Site::start(boxes, setup)?;
         // Free ports: bound until all are known, so that no two are equal, and on a reserved address, so
         // that they stay free until the routers start and while one of them is down.
--- a/crates/frostturn-lab/src/scenarios/addresses.rs
+++ b/crates/frostturn-lab/src/scenarios/addresses.rs
@@ -18,24 +18,24 @@
 use std::time::Duration;
 
 const BOXES: usize = 8;
-const RATE: f64 = 1850.0;
+const REQUESTS_PER_S: f64 = 1850.0;
 const SECONDS: f64 = 34.0;
 /// No failure begins before this time, while connections are established and the decision module learns.
-const QUIET_MS: Millis = 1500.0;
+const SETTLE_MS: Millis = 1500.0;
 /// Number of boxes of which one or two endpoints fail; the others fail as whole machines.
 const SINGLE_ENDPOINT_BOXES: usize = 5;
 /// Budget of a cold box. The load takes a little over half of the capacity of warm boxes. A cold box is
 /// overloaded at three times its capacity.
 const COLD_BUDGET: Budget = Budget { first: 3.0 * COLD_FROM * CAPACITY, last: 3.0 * CAPACITY };
 /// The longest attempt delay in the operator's file, and the extra time that a connection attempt may take.
-const DELAY_MS: Millis = 80.0;
-const BEYOND_MS: Millis = 40.0;
+const MAX_ATTEMPT_DELAY_MS: Millis = 80.0;
+const CONNECT_MARGIN_MS: Millis = 40.0;
 /// A request that arrives this much later than usual has waited for a connection.
-const PAID_MS: Millis = 10.0;
+const DELAYED_MS: Millis = 10.0;
 /// Requests within this time after a failure meet it first; later ones are routed around it.
-const FRESH_MS: Millis = 1500.0;
+const FIRST_CONTACT_MS: Millis = 1500.0;
 /// Minimum number of requests behind a measured value.
-const LEAST_MET: f64 = 5.0;
+const MIN_SAMPLES: f64 = 5.0;
 
 /// An action of the plan.
 #[derive(Clone, Debug, PartialEq)]
@@ -53,7 +53,7 @@
 
 /// A time interval in which an endpoint fails.
 #[derive(Clone, Copy, Debug)]
-struct Spell {
+struct FailureInterval {
     machine: usize,
     endpoint: usize,
     from: Millis,
@@ -64,14 +64,14 @@
 #[derive(Debug, Default)]
 struct Plan {
     acts: Vec<(Millis, Act)>,
-    spells: Vec<Spell>,
+    failures: Vec<FailureInterval>,
 }
 
 impl Plan {
     fn fail(&mut self, machine: usize, endpoint: usize, failure: Failure, from: Millis, to: Millis) {
         self.acts.push((from, Act::Fail(machine, endpoint, failure)));
         self.acts.push((to, Act::Fail(machine, endpoint, Failure::None)));
-        self.spells.push(Spell { machine, endpoint, from, to, failure });
+        self.failures.push(FailureInterval { machine, endpoint, from, to, failure });
     }
 
     /// Draws all actions until `end`.
@@ -96,7 +96,7 @@
         kinds.extend([(1, Some(BlackHole)); 8]);
         kinds.push((0, Some(BlackHole)));
         kinds.shuffle(&mut rng);
-        let mut free = [QUIET_MS; SINGLE_ENDPOINT_BOXES];
+        let mut free = [SETTLE_MS; SINGLE_ENDPOINT_BOXES];
         for (turn, (endpoint, failure)) in kinds.into_iter().cycle().enumerate() {
             let machine = turn % SINGLE_ENDPOINT_BOXES;
             let from = free[machine] + 750.0 + rng.random_range(0.0..600.0);
@@ -133,7 +133,7 @@
             }
         }
         // A box dies and returns cold, with one endpoint before the others.
-        let mut at = QUIET_MS + rng.random_range(500.0..2500.0);
+        let mut at = SETTLE_MS + rng.random_range(500.0..2500.0);
         while at + 9000.0 < end {
             let (back, first) = (at + rng.random_range(800.0..1600.0), rng.random_range(0..3));
             for endpoint in 0..3 {
@@ -144,7 +144,7 @@
             at = back + rng.random_range(5000.0..8000.0);
         }
         // A box drains while its address is also listed under a second name.
-        let mut at = QUIET_MS + rng.random_range(500.0..4000.0);
+        let mut at = SETTLE_MS + rng.random_range(500.0..4000.0);
         while at + 9000.0 < end {
             let last = BOXES - 1;
             plan.acts.push((at, Act::Tell(last, Status::Leaving, false)));
@@ -155,7 +155,7 @@
             at += rng.random_range(9000.0..12_000.0);
         }
         // A reload removes the first endpoint of a box, and another one restores it.
-        let mut at = QUIET_MS + rng.random_range(2000.0..5000.0);
+        let mut at = SETTLE_MS + rng.random_range(2000.0..5000.0);
         while at + 6000.0 < end {
             plan.acts.push((at, Act::Reload(vec![(SINGLE_ENDPOINT_BOXES + 1, 0)])));
             plan.acts.push((at + 3500.0, Act::Reload(vec![])));
@@ -166,7 +166,7 @@
         plan.acts.push((at, Act::Descriptors(true)));
         plan.acts.push((at + 1000.0, Act::Descriptors(false)));
         for _ in 0..6 {
-            plan.acts.push((rng.random_range(QUIET_MS..end), Act::Purge(0x1001 + rng.random_range(0..5))));
+            plan.acts.push((rng.random_range(SETTLE_MS..end), Act::Purge(0x1001 + rng.random_range(0..5))));
         }
         plan.acts.sort_by(|a, b| a.0.total_cmp(&b.0));
         plan
@@ -174,7 +174,7 @@
 
     /// Executes the plan. Returns for each failure its machine, its time and the number of open connections
     /// on its endpoint.
-    fn play(&self, site: &Site, daemon: &Daemon, start: Millis) -> Vec<(usize, Millis, i64)> {
+    fn execute(&self, site: &Site, daemon: &Daemon, start: Millis) -> Vec<(usize, Millis, i64)> {
         let mut met = Vec::new();
         for (at, act) in &self.acts {
             let wait = start + at - site.world.now();
@@ -235,10 +235,10 @@
     let plan = if options.calm { Plan::default() } else { Plan::draw(options.seed, seconds * 1e3) };
     let site = Site::start(BOXES, &options.setup())?;
     let daemon = site.daemon(options.daemon.as_deref(), options.plain, options.seed)?;
-    let (world, address, rate) = (site.world.clone(), daemon.address, options.rate.unwrap_or(RATE));
+    let (world, address, rate) = (site.world.clone(), daemon.address, options.rate.unwrap_or(REQUESTS_PER_S));
     let (start, seed) = (world.now(), options.seed);
     let load = thread::spawn(move || clients::run(&world, address, rate, seconds * 1e3, seed));
-    let met = plan.play(&site, &daemon, start);
+    let met = plan.execute(&site, &daemon, start);
     let load = load.join().map_err(|_| "the clients panicked".to_owned())?;
     let (mut report, seen, _) = site.finish("addresses", seed, daemon, &load);
     if let Some(out) = &options.out {
@@ -261,7 +261,7 @@
     }
     let mut file = std::fs::File::create(out.join("failures.csv"))?;
     writeln!(file, "machine,way,from_ms,to_ms,failure")?;
-    plan.spells.iter().try_for_each(|s| {
+    plan.failures.iter().try_for_each(|s| {
         writeln!(file, "{},{},{:.0},{:.0},{:?}", s.machine, s.endpoint, s.from, s.to, s.failure)
     })
 }
@@ -284,10 +284,11 @@
     let usual = quantile(seen.usual_delays_ms.clone(), 0.5);
     // Extra delays of first requests on an endpoint while a preferred one of their machine failed this way,
     // between `after` and `before` since the failure began.
-    let paid = |fails: &dyn Fn(Failure) -> bool, after: Millis, before: Millis| {
+    let delays = |fails: &dyn Fn(Failure) -> bool, after: Millis, before: Millis| {
         let during = |machine: usize, endpoint: usize, at: Millis| {
-            let better = plan.spells.iter().filter(|s| s.machine == machine && s.endpoint < endpoint);
-            let now: Vec<&Spell> = better.filter(|s| at >= start + s.from && at <= start + s.to).collect();
+            let better = plan.failures.iter().filter(|s| s.machine == machine && s.endpoint < endpoint);
+            let now: Vec<&FailureInterval> =
+                better.filter(|s| at >= start + s.from && at <= start + s.to).collect();
             // If a preferred endpoint fails in another way, the delay is not counted.
             now.iter().all(|s| fails(s.failure) || refused(s.failure))
                 && now.iter().any(|s| {
@@ -299,25 +300,26 @@
             seen.first_requests.iter().filter(|first| during(first.machine, first.endpoint, first.at));
         firsts.map(|first| (first.after_ms - usual).max(0.0)).collect::<Vec<f64>>()
     };
-    let hole = |failure| failure == BlackHole;
+    let black_hole = |failure| failure == BlackHole;
     report.bounds.push(Bound::most(
         "failover_refused_p99_ms",
-        quantile(paid(&refused, 0.0, FRESH_MS), 0.99),
+        quantile(delays(&refused, 0.0, FIRST_CONTACT_MS), 0.99),
         10.0,
     ));
-    let limit = DELAY_MS + BEYOND_MS;
+    let limit = MAX_ATTEMPT_DELAY_MS + CONNECT_MARGIN_MS;
     report.bounds.push(Bound::most(
         "failover_blackhole_p99_ms",
-        quantile(paid(&hole, 0.0, FRESH_MS), 0.99),
+        quantile(delays(&black_hole, 0.0, FIRST_CONTACT_MS), 0.99),
         limit,
     ));
-    let met = [paid(&refused, 0.0, FRESH_MS).len(), paid(&hole, 0.0, FRESH_MS).len()];
-    report.bounds.push(Bound::least("failover_refused_met", met[0] as f64, LEAST_MET));
-    report.bounds.push(Bound::least("failover_blackhole_met", met[1] as f64, LEAST_MET));
+    let met =
+        [delays(&refused, 0.0, FIRST_CONTACT_MS).len(), delays(&black_hole, 0.0, FIRST_CONTACT_MS).len()];
+    report.bounds.push(Bound::least("failover_refused_met", met[0] as f64, MIN_SAMPLES));
+    report.bounds.push(Bound::least("failover_blackhole_met", met[1] as f64, MIN_SAMPLES));
     // More than 2 s after an endpoint failed: requests lost on it, and requests delayed by a connection
     // attempt.
     let dead = |machine: usize, at: Millis| {
-        let of = plan.spells.iter().filter(|s| s.machine == machine);
+        let of = plan.failures.iter().filter(|s| s.machine == machine);
         of.filter(|s| at >= start + s.from + 2000.0 && at <= start + s.to)
             .map(|s| s.endpoint)
             .collect::<Vec<_>>()
@@ -327,7 +329,8 @@
         .iter()
         .filter(|(machine, endpoint, at)| dead(*machine, *at).contains(endpoint))
         .count();
-    let dialled = paid(&|_| true, 2000.0, f64::INFINITY).into_iter().filter(|paid| *paid > PAID_MS).count();
+    let dialled =
+        delays(&|_| true, 2000.0, f64::INFINITY).into_iter().filter(|delay| *delay > DELAYED_MS).count();
     let all = seen.arrivals.iter().filter(|(machine, at)| !dead(*machine, *at).is_empty()).count();
     let share = (lost + dialled) as f64 / all.max(1) as f64;
     report.bounds.push(Bound::most("repaid_share", share, 0.01));
--- a/crates/frostturn-lab/src/scenarios/fleet.rs
+++ b/crates/frostturn-lab/src/scenarios/fleet.rs
@@ -25,7 +25,7 @@
 const BOXES: usize = 8;
 const SECONDS: f64 = 38.0;
 /// Requests per second at each router.
-const RATE: f64 = 50.0;
+const REQUESTS_PER_S: f64 = 50.0;
 /// A router with delayed timers is suspended for the schedule's time, and runs for this long in between.
 const RUNS_MS: Millis = 100.0;
 /// Interval at which the schedule is checked for its next step.
@@ -48,7 +48,7 @@
         for slot in &self.rig.slots {
             let Some(address) = slot.address else { continue };
             let (world, rate, seed) =
-                (self.rig.site.world.clone(), options.rate.unwrap_or(RATE), options.seed);
+                (self.rig.site.world.clone(), options.rate.unwrap_or(REQUESTS_PER_S), options.seed);
             let seed = seed.wrapping_mul(31).wrapping_add(self.loads.len() as u64);
             self.loads.push(thread::spawn(move || clients::run(&world, address, rate, for_ms, seed)));
         }
@@ -105,7 +105,7 @@
     let ratio = worth / worth_plain;
     println!("  without a fleet: worth {worth_plain:.4}, rules {:?}", plain.rules);
     println!(
-        "  CPU of the routers with and without: {cpu:.0} and {cpu_without:.0} ms; {passed} datagrams passed"
+        "  CPU of the routers with and without: {cpu:.0} and {cpu_without:.0} ms; {passed} datagrams forwarded"
     );
     println!(
         "  {} steps: {}",
@@ -287,7 +287,7 @@
     // Offset between the boot clock and the checker's clock.
     let shift = boot_ms() - rig.site.world.now();
     let (mut worth, mut earned) = (0.0, 0.0);
-    let mut latency = Histogram::new_with_bounds(1, 60_000_000, 3).expect("sound bounds");
+    let mut latency = Histogram::new_with_bounds(1, 60_000_000, 3).expect("valid bounds");
     for (load, spans) in loads.iter().zip(excused) {
         (worth, earned) = (worth + load.worth, earned + load.worth_served);
         let _ = latency.add(&load.latency); // Both have the same bounds.
--- a/crates/frostturn-lab/src/scenarios/fleet_cost.rs
+++ b/crates/frostturn-lab/src/scenarios/fleet_cost.rs
@@ -15,7 +15,7 @@
 
 const ROUTERS: usize = 300;
 /// Time until all routers know each other, and the duration of the measurement, in ms.
-const FORMS_MS: f64 = 8000.0;
+const FORMATION_MS: f64 = 8000.0;
 const MEASURED_MS: f64 = 20_000.0;
 /// Memory of a router on the platform, in MB.
 const MEMORY_MB: f64 = 32.0;
@@ -43,7 +43,7 @@
 
 /// Creates the other routers and the daemon's operator's file.
 fn others(listen: SocketAddr, seed: u64) -> Result<(Vec<Peer>, String), String> {
-    let io = |e: std::io::Error| format!("the others: {e}");
+    let io = |e: std::io::Error| format!("sockets of the other routers: {e}");
     let sockets: Vec<UdpSocket> =
         (1..ROUTERS).map(|_| UdpSocket::bind("127.0.0.1:0")).collect::<Result<_, _>>().map_err(io)?;
     let mut at = vec![listen];
@@ -68,7 +68,7 @@
 
 /// Measures both daemons.
 pub fn run(options: &Options) -> Result<Report, String> {
-    let io = |e: std::io::Error| format!("the operator's file: {e}");
+    let io = |e: std::io::Error| format!("listen address or operator's file: {e}");
     let site = Site::start(2, &options.setup())?;
     let listen =
         UdpSocket::bind(site.world.loopback.any_port()).and_then(|held| held.local_addr()).map_err(io)?;
@@ -99,9 +99,9 @@
         }
     };
     let began = boot_ms();
-    play(began + FORMS_MS);
+    play(began + FORMATION_MS);
     let before = [with.resource_usage().0, without.resource_usage().0];
-    play(began + FORMS_MS + MEASURED_MS);
+    play(began + FORMATION_MS + MEASURED_MS);
     let after = [with.resource_usage(), without.resource_usage()];
     let cpu = [0, 1].map(|at| (after[at].0 - before[at]) / (MEASURED_MS / 1e3));
     let alive = peers[0].fleet.count_by_state()[1].1;
--- a/crates/frostturn-lab/src/scenarios/fleet_sim.rs
+++ b/crates/frostturn-lab/src/scenarios/fleet_sim.rs
@@ -11,8 +11,8 @@
 
 /// Fleet sizes at which the bounds must hold, and a larger one, simulated once for the plot only: the
 /// bounds are not required there.
-const BOUND: [usize; 5] = [12, 16, 24, 100, 300];
-const SHOWN: usize = 1000;
+const BOUNDED_SIZES: [usize; 5] = [12, 16, 24, 100, 300];
+const PLOTTED_SIZE: usize = 1000;
 /// Number of seeds per size, from the given one on.
 const SEEDS: u64 = 2;
 const SPAN_MS: Millis = 40_000.0;
@@ -37,8 +37,8 @@
     let mut rows = Vec::new();
     let mut csv = String::from("routers,seed,false_gone,suspect_p99_ms,gone_p99_ms,knows_first,rejoin_p99_ms,views_differ_ms,datagrams_s,bytes_s\n");
     // The largest size takes a minute, so it runs only if a plot is written.
-    let shown = options.out.is_some().then_some((SHOWN, 1));
-    for (routers, seeds) in BOUND.into_iter().map(|routers| (routers, SEEDS)).chain(shown) {
+    let shown = options.out.is_some().then_some((PLOTTED_SIZE, 1));
+    for (routers, seeds) in BOUNDED_SIZES.into_iter().map(|routers| (routers, SEEDS)).chain(shown) {
         for seed in options.seed..options.seed + seeds {
             let row = played(routers, seed);
             let figures: Vec<String> =
@@ -54,9 +54,9 @@
         let io = |e: std::io::Error| format!("{}: {e}", dir.display());
         std::fs::create_dir_all(dir).map_err(io)?;
         std::fs::write(dir.join("fleet-sim.csv"), &csv).map_err(io)?;
-        plot(&dir.join("fleet-sim.svg"), &rows).map_err(|e| format!("the plot: {e}"))?;
+        plot(&dir.join("fleet-sim.svg"), &rows).map_err(|e| format!("cannot write the plot: {e}"))?;
     }
-    let bound: Vec<&Row> = rows.iter().filter(|row| BOUND.contains(&row.routers)).collect();
+    let bound: Vec<&Row> = rows.iter().filter(|row| BOUNDED_SIZES.contains(&row.routers)).collect();
     let worst = |of: &dyn Fn(&Row) -> f64| bound.iter().map(|row| of(row)).fold(0.0, f64::max);
     let mut bounds: Vec<Bound> = Vec::new();
     for at in 0..Figures::default().bounds().len() {
--- a/crates/frostturn-lab/src/scenarios/mod.rs
+++ b/crates/frostturn-lab/src/scenarios/mod.rs
@@ -51,8 +51,11 @@
 
 /// A scenario: its name, description and function.
 pub struct Scenario {
+    /// Its name on the command line.
     pub name: &'static str,
+    /// Its description in the list.
     pub about: &'static str,
+    /// Runs it.
     pub run: fn(&Options) -> Result<Report, String>,
 }
 
--- a/crates/frostturn-lab/src/scenarios/photos.rs
+++ b/crates/frostturn-lab/src/scenarios/photos.rs
@@ -12,13 +12,13 @@
 use std::time::Duration;
 
 const BOXES: usize = 8;
-const RATE: f64 = 800.0;
+const REQUESTS_PER_S: f64 = 800.0;
 const SECONDS: f64 = 15.0;
 /// Time between two departures of a box, time until a box returns with an empty cache, and time of the
 /// first departure.
-const EVERY_MS: f64 = 1800.0;
-const AWAY_MS: f64 = 900.0;
-const FIRST_MS: f64 = 2000.0;
+const DEPARTURE_INTERVAL_MS: f64 = 1800.0;
+const ABSENCE_MS: f64 = 900.0;
+const FIRST_DEPARTURE_MS: f64 = 2000.0;
 const PROGRAM: &str = include_str!("../../../../examples/plugins/photos.wat");
 
 /// Runs the load without and with the plug-in.
@@ -55,7 +55,7 @@
     site.write_text(if with { &plugin } else { "(frostturn)" })?;
     let daemon = site.daemon(options.daemon.as_deref(), false, options.seed)?;
     let seconds = options.seconds.unwrap_or(SECONDS);
-    let (world, address, rate) = (site.world.clone(), daemon.address, options.rate.unwrap_or(RATE));
+    let (world, address, rate) = (site.world.clone(), daemon.address, options.rate.unwrap_or(REQUESTS_PER_S));
     let (start, seed) = (world.now(), options.seed);
     let load = thread::spawn(move || clients::run(&world, address, rate, seconds * 1e3, seed));
     let budget = Budget { first: 3.0 * COLD_FROM * CAPACITY, last: 3.0 * CAPACITY };
@@ -63,17 +63,17 @@
         let wait = start + at - site.world.now();
         thread::sleep(Duration::from_secs_f64(wait.max(0.0) / 1e3));
     };
-    let mut leaves = (FIRST_MS, options.seed as usize % BOXES);
-    while leaves.0 + AWAY_MS < seconds * 1e3 {
+    let mut leaves = (FIRST_DEPARTURE_MS, options.seed as usize % BOXES);
+    while leaves.0 + ABSENCE_MS < seconds * 1e3 {
         let (at, one) = leaves;
         sleep_until(at);
         // The departure is announced first: open requests finish and no new ones arrive.
         site.announce_status(one, Status::Left, None);
-        sleep_until(at + AWAY_MS);
+        sleep_until(at + ABSENCE_MS);
         site.boxes[one].endpoints.iter().for_each(|endpoint| endpoint.fail(Failure::None));
         site.boxes[one].restart_cold();
         site.announce_status(one, Status::Active, Some((COLD_MS, budget)));
-        leaves = (at + EVERY_MS, (one + 3) % BOXES);
+        leaves = (at + DEPARTURE_INTERVAL_MS, (one + 3) % BOXES);
     }
     let load = load.join().map_err(|_| "the clients panicked".to_owned())?;
     let (report, seen, ended) = site.finish("photos", seed, daemon, &load);
--- a/crates/frostturn-lab/src/scenarios/plugins.rs
+++ b/crates/frostturn-lab/src/scenarios/plugins.rs
@@ -18,21 +18,21 @@
 use std::time::{Duration, Instant};
 
 const BOXES: usize = 8;
-const RATE: f64 = 1850.0;
-const QUIET_SECONDS: f64 = 9.0;
+const REQUESTS_PER_S: f64 = 1850.0;
+const BASELINE_SECONDS: f64 = 9.0;
 const SECONDS: f64 = 24.0;
-const SWAP_MS: u64 = 100;
+const RELOAD_INTERVAL_MS: u64 = 100;
 /// Times at which a box dies and returns cold.
 const DIES_MS: Millis = 2500.0;
-const BACK_MS: Millis = 3500.0;
+const RETURNS_MS: Millis = 3500.0;
 /// Longest time that one event may hold the event loop, in microseconds, with all plug-ins spending their
 /// whole budgets.
-const HOLD_US: f64 = 5000.0;
+const MAX_LOOP_HOLD_US: f64 = 5000.0;
 
 /// Runs the scenario.
 pub fn run(options: &Options) -> Result<Report, String> {
     let hold = loop_hold_us()?;
-    let (usual, load, _) = serve(options, QUIET_SECONDS, false)?;
+    let (usual, load, _) = serve(options, BASELINE_SECONDS, false)?;
     let seconds = options.seconds.unwrap_or(SECONDS);
     let (mut report, hostile, taken) = serve(options, seconds, true)?;
     let p99 = |load: &Load| load.latency.value_at_quantile(0.99) as f64;
@@ -41,8 +41,12 @@
     bounds.push(Bound::most("p99_ratio", p99(&hostile) / p99(&load).max(1.0), 1.15));
     bounds.push(Bound::most("swap_dropped", (report.rules.lost + hostile.unsent) as f64, 0.0));
     bounds.push(Bound::most("cold_overload", report.rules.cold as f64, 0.0));
-    bounds.push(Bound::most("loop_hold_max_us", hold, HOLD_US));
-    bounds.push(Bound::least("swaps_taken", taken as f64, (seconds * 1e3 / SWAP_MS as f64 * 0.5).floor()));
+    bounds.push(Bound::most("loop_hold_max_us", hold, MAX_LOOP_HOLD_US));
+    bounds.push(Bound::least(
+        "swaps_taken",
+        taken as f64,
+        (seconds * 1e3 / RELOAD_INTERVAL_MS as f64 * 0.5).floor(),
+    ));
     bounds.push(Bound::least("requests", report.requests as f64, 40_000.0));
     Ok(report)
 }
@@ -56,11 +60,11 @@
     drawn.truncate(if hostile { MAX_PLUGINS } else { 0 });
     write(&site, &all, &drawn)?;
     let daemon = site.daemon(options.daemon.as_deref(), false, options.seed)?;
-    let (world, address, rate) = (site.world.clone(), daemon.address, options.rate.unwrap_or(RATE));
+    let (world, address, rate) = (site.world.clone(), daemon.address, options.rate.unwrap_or(REQUESTS_PER_S));
     let (start, seed) = (world.now(), options.seed);
     let load = thread::spawn(move || clients::run(&world, address, rate, seconds * 1e3, seed));
     let mut next = start;
-    let (mut died, mut back) = (false, false);
+    let (mut died, mut returned) = (false, false);
     while site.world.now() < start + seconds * 1e3 {
         let at = site.world.now() - start;
         let endpoints =
@@ -69,15 +73,15 @@
             died = true;
             endpoints(Failure::Refused);
         }
-        if !back && at >= BACK_MS {
-            back = true;
+        if !returned && at >= RETURNS_MS {
+            returned = true;
             endpoints(Failure::None);
             site.boxes[0].restart_cold();
             let budget = crate::check::Budget { first: 3.0 * COLD_FROM * CAPACITY, last: 3.0 * CAPACITY };
             site.announce_status(0, Status::Active, Some((COLD_MS, budget)));
         }
         if hostile && site.world.now() >= next {
-            next += SWAP_MS as f64;
+            next += RELOAD_INTERVAL_MS as f64;
             // One plug-in is replaced by another, and all files are read again.
             let place = rng.random_range(0..drawn.len());
             let fresh = (0..all.len()).filter(|one| !drawn.contains(one)).collect::<Vec<usize>>();
--- a/crates/frostturn-lab/src/scenarios/service.rs
+++ b/crates/frostturn-lab/src/scenarios/service.rs
@@ -19,23 +19,23 @@
 
 const BOXES: usize = 8;
 /// Maximum number of excluded boxes: the others carry the load.
-const MOST_OUT: usize = 2;
-const RATE: f64 = 1200.0;
+const MAX_EXCLUDED: usize = 2;
+const REQUESTS_PER_S: f64 = 1200.0;
 const SECONDS: f64 = 32.0;
-const QUIET_MS: Millis = 1500.0;
+const SETTLE_MS: Millis = 1500.0;
 /// Interval between upgrades, and between operators' calls.
-const UPGRADE_MS: Millis = 5200.0;
-const CALL_MS: Millis = 400.0;
+const UPGRADE_INTERVAL_MS: Millis = 5200.0;
+const CALL_INTERVAL_MS: Millis = 400.0;
 /// Time after which the front-end web servers send no new connections or requests to a terminating process.
-const LEFT_MS: Millis = 700.0;
+const WEB_SERVERS_LEAVE_MS: Millis = 700.0;
 /// Time limit until the other process has received a call.
-const HEARD_MS: Millis = 300.0;
+const CALL_PROPAGATION_MS: Millis = 300.0;
 /// Time after SIGTERM that counts as part of the upgrade.
-const AROUND_MS: Millis = 3500.0;
+const UPGRADE_WINDOW_MS: Millis = 3500.0;
 const COLD_BUDGET: Budget = Budget { first: 3.0 * COLD_FROM * CAPACITY, last: 3.0 * CAPACITY };
 /// Number of stalled operator calls, and for how long they stay open.
-const STALLED: usize = 5;
-const STALLS: Duration = Duration::from_millis(4000);
+const STALLED_CALLS: usize = 5;
+const STALL_DURATION: Duration = Duration::from_millis(4000);
 
 /// Result of a run.
 #[derive(Default)]
@@ -106,17 +106,18 @@
         }
     };
     let mut current = start_process(&site, site.world.loopback.any_port(), false)?;
-    let (world, address, rate) = (site.world.clone(), current.address, options.rate.unwrap_or(RATE));
+    let (world, address, rate) =
+        (site.world.clone(), current.address, options.rate.unwrap_or(REQUESTS_PER_S));
     let (start, seed) = (world.now(), options.seed);
     let load = thread::spawn(move || clients::run(&world, address, rate, seconds * 1e3, seed));
     let mut figures = Figures { disk_fails: options.shims.disk.is_some(), ..Figures::default() };
     let mut ending: Vec<(Daemon, Millis, bool)> = Vec::new();
     let mut out: Vec<(usize, Millis)> = Vec::new();
-    let (mut upgrade_at, mut call_at) = (start + QUIET_MS, start + QUIET_MS / 2.0);
+    let (mut upgrade_at, mut call_at) = (start + SETTLE_MS, start + SETTLE_MS / 2.0);
     while site.world.now() < start + seconds * 1e3 {
         let now = site.world.now();
         for (_, terminated_at, retired) in &mut ending {
-            if !*retired && now >= *terminated_at + LEFT_MS {
+            if !*retired && now >= *terminated_at + WEB_SERVERS_LEAVE_MS {
                 *retired = true;
                 site.world.observations().retired_before = now;
             }
@@ -126,7 +127,7 @@
             figures.bad_ends += u32::from(!old.wait_for_exit());
         }
         if now >= call_at {
-            call_at = now + CALL_MS;
+            call_at = now + CALL_INTERVAL_MS;
             // Either process may receive calls while two run.
             let old = ending
                 .last()
@@ -135,17 +136,17 @@
             operate(&site, &mut figures, &mut out, ops, &mut rng);
         }
         // The last old process has time to exit before the load ends.
-        if now >= upgrade_at && now < start + seconds * 1e3 - AROUND_MS {
-            upgrade_at = now + UPGRADE_MS;
+        if now >= upgrade_at && now < start + seconds * 1e3 - UPGRADE_WINDOW_MS {
+            upgrade_at = now + UPGRADE_INTERVAL_MS;
             if rng.random_range(0..3) == 0 {
                 corrupt_state_file(&site, current.address, &mut rng)?;
             }
             stall_calls(current.ops);
             if rng.random_range(0..3) == 0 {
                 // A process that is killed at any moment of its start, which must have no effect.
-                let dies = start_process(&site, current.address, true)?;
+                let crashing = start_process(&site, current.address, true)?;
                 thread::sleep(Duration::from_millis(rng.random_range(0..40)));
-                drop(dies);
+                drop(crashing);
                 figures.deaths += 1;
             }
             let from = Instant::now();
@@ -171,14 +172,21 @@
     // Sends are inferred from arrivals: those after an upgrade at a box that was excluded, allowing for the
     // time until both processes know of the call.
     let out_at = |machine: usize, at: Millis| {
-        figures.exclusions.iter().any(|(one, from, to)| *one == machine && at > from + HEARD_MS && at < *to)
+        figures
+            .exclusions
+            .iter()
+            .any(|(one, from, to)| *one == machine && at > from + CALL_PROPAGATION_MS && at < *to)
     };
     let after = |at: Millis| {
-        figures.upgrades.iter().any(|terminated_at| at > *terminated_at && at < terminated_at + AROUND_MS)
+        figures
+            .upgrades
+            .iter()
+            .any(|terminated_at| at > *terminated_at && at < terminated_at + UPGRADE_WINDOW_MS)
     };
     let wrong = seen.arrivals.iter().filter(|(machine, at)| after(*at) && out_at(*machine, *at)).count();
     let share = |around: bool| {
-        let those = load.times.iter().filter(|(at, ..)| *at > start + QUIET_MS / 2.0 && after(*at) == around);
+        let those =
+            load.times.iter().filter(|(at, ..)| *at > start + SETTLE_MS / 2.0 && after(*at) == around);
         let (asked, earned) = those.fold((0.0, 0.0), |(asked, earned), (_, worth, good)| {
             (asked + worth, earned + if *good { *worth } else { 0.0 })
         });
@@ -211,7 +219,7 @@
     ops: Option<SocketAddr>,
     rng: &mut StdRng,
 ) {
-    if out.len() < MOST_OUT && rng.random() {
+    if out.len() < MAX_EXCLUDED && rng.random() {
         let at = rng.random_range(0..BOXES);
         let one = &site.boxes[at];
         if out.iter().any(|(other, _)| *other == at) || !figures.call(ops, &Call::Exclude(one.name.clone())) {
@@ -255,11 +263,11 @@
 fn stall_calls(ops: Option<SocketAddr>) {
     let Some(ops) = ops else { return };
     thread::spawn(move || {
-        let streams: Vec<TcpStream> = (0..STALLED).flat_map(|_| TcpStream::connect(ops)).collect();
+        let streams: Vec<TcpStream> = (0..STALLED_CALLS).flat_map(|_| TcpStream::connect(ops)).collect();
         for mut stream in &streams {
             let _ = stream.write_all(b"POST /api/exclude HTTP/1.1\r\nContent-");
             // The process may exit at this moment.
         }
-        thread::sleep(STALLS);
+        thread::sleep(STALL_DURATION);
     });
 }
--- a/crates/frostturn-lab/src/scenarios/soak/clients.rs
+++ b/crates/frostturn-lab/src/scenarios/soak/clients.rs
@@ -14,13 +14,13 @@
 use std::time::Duration;
 
 /// Maximum number of open requests on a connection.
-const MAX_OPEN: usize = 24;
+const MAX_OPEN_REQUESTS: usize = 24;
 /// The platform's clients resend a request that was sent within this time before its connection closed.
 const RESEND_WINDOW_MS: Millis = 50.0;
 /// Mean time between two requests on a connection, in ms.
-const GAP_MS: f64 = 30.0;
+const MEAN_GAP_MS: f64 = 30.0;
 /// Time between the end of a connection and the client's next one.
-const PAUSE: Duration = Duration::from_millis(100);
+const RECONNECT_DELAY: Duration = Duration::from_millis(100);
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// How a client uses its connection.
@@ -38,6 +38,7 @@
     Junk,
 }
 
+/// Habits of the clients of each router.
 pub const HABITS: [Habit; 8] = [
     Habit::Busy,
     Habit::Busy,
@@ -52,6 +53,7 @@
 /// What clients know of a router's process.
 #[derive(Debug, Default)]
 pub struct RouterState {
+    /// Its address for clients.
     pub address: Option<SocketAddr>,
     /// The front-end web servers open new connections to it.
     pub accepts_connections: bool,
@@ -72,7 +74,9 @@
 /// An open connection, for the audit.
 #[derive(Clone, Debug)]
 pub struct Open {
+    /// Index of the router.
     pub router: usize,
+    /// Habit of the client.
     pub habit: Habit,
     session: Arc<Mutex<Session>>,
 }
@@ -86,21 +90,27 @@
             return None;
         }
         let recent = session.open.values().filter(|(_, at)| *at > now - recent_ms).count();
-        let held = session.open.is_empty() || recent > 0;
-        held.then(|| format!("{:?}: {} open, {recent} of them recent", self.habit, session.open.len()))
+        let still_open = session.open.is_empty() || recent > 0;
+        still_open.then(|| format!("{:?}: {} open, {recent} of them recent", self.habit, session.open.len()))
     }
 }
 
 /// State shared by all clients.
 #[derive(Debug)]
 pub struct Clients {
+    /// State shared by all stand-ins.
     pub world: Arc<World>,
+    /// What the clients know of each router.
     pub routers: Vec<Mutex<RouterState>>,
+    /// All open connections.
     pub sessions: Mutex<Vec<Open>>,
+    /// Factor on the clients' timeouts.
     pub deadline_scale: f64,
+    /// Time at which the clients stop sending.
     pub until: Millis,
 }
 
+/// Locks a mutex, also if a thread panicked with it.
 pub fn lock<T>(shared: &Mutex<T>) -> MutexGuard<'_, T> {
     shared.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
 }
@@ -117,7 +127,7 @@
             match stream.filter(|stream| stream.set_nodelay(true).is_ok()) {
                 Some(stream) => {
                     self.use_connection(router, habit, &stream, &mut rng);
-                    thread::sleep(PAUSE);
+                    thread::sleep(RECONNECT_DELAY);
                 }
                 None => thread::sleep(Duration::from_millis(20)),
             }
@@ -148,7 +158,7 @@
 
     /// Writes by the client's habit until the connection has ended.
     fn write(&self, habit: Habit, mut stream: &TcpStream, session: &Mutex<Session>, rng: &mut StdRng) {
-        let (mut rest, mut next) = (Vec::new(), None);
+        let (mut unsent, mut next) = (Vec::new(), None);
         for number in (1..=u16::MAX).cycle() {
             let class = &CLASSES[draw_class(rng.random())];
             let (id, object) = (rng.next_u64(), 0x1000 + rng.random_range(0..200u64));
@@ -159,7 +169,7 @@
                 Habit::Half => bytes.len() / 2,
                 Habit::Busy | Habit::Resting | Habit::Junk => bytes.len(),
             };
-            rest.extend_from_slice(&bytes[..cut]);
+            unsent.extend_from_slice(&bytes[..cut]);
             // The request completed by this write: the previous one, if its end was not yet written, or
             // this one.
             let whole = match habit {
@@ -186,18 +196,18 @@
                     );
                 }
             }
-            if stream.write_all(&rest).is_err() {
+            if stream.write_all(&unsent).is_err() {
                 return; // The reader sees the connection end.
             }
-            rest = bytes[cut..].to_vec();
+            unsent = bytes[cut..].to_vec();
             match habit {
                 Habit::Resting | Habit::Half => return,
                 Habit::Junk => return drop(stream.write_all(b"GET / HTTP/1.1\r\n\r\n")),
                 Habit::Busy | Habit::InPieces => {}
             }
-            let gap = -GAP_MS * f64::ln(1.0 - rng.random::<f64>());
+            let gap = -MEAN_GAP_MS * f64::ln(1.0 - rng.random::<f64>());
             thread::sleep(Duration::from_secs_f64(gap.min(200.0) / 1e3));
-            while lock(session).open.len() >= MAX_OPEN && self.world.now() < self.until {
+            while lock(session).open.len() >= MAX_OPEN_REQUESTS && self.world.now() < self.until {
                 thread::sleep(Duration::from_millis(2));
             }
         }
--- a/crates/frostturn-lab/src/scenarios/soak/mod.rs
+++ b/crates/frostturn-lab/src/scenarios/soak/mod.rs
@@ -28,19 +28,19 @@
 use std::time::Duration;
 
 /// Time after an evacuation or a SIGTERM from which the front-end web servers open no new connection.
-const LEFT_MS: Millis = 300.0;
+const WEB_SERVERS_LEAVE_MS: Millis = 300.0;
 /// Time after an evacuation at which the remaining connections are audited, and the age up to which a
 /// request counts as recent then.
 const AUDIT_MS: Millis = 4050.0;
 const RECENT_MS: Millis = 2000.0;
-/// SIGKILL is sent this long after the longest deadline, which counts as `LONGEST_MS` at most.
-const KILL_MORE_MS: Millis = 700.0;
-const LONGEST_MS: Millis = 3000.0;
+/// SIGKILL is sent this long after the longest deadline, which counts as `MAX_DEADLINE_MS` at most.
+const KILL_MARGIN_MS: Millis = 700.0;
+const MAX_DEADLINE_MS: Millis = 3000.0;
 /// An answer that is late by no more than this only earns no worth.
-const GRACE_MS: Millis = 500.0;
+const LATE_ANSWER_GRACE_MS: Millis = 500.0;
 /// Time after a rejoin within which a router must be ready again.
 const READY_MS: Millis = 2000.0;
-const CROWD: usize = 150;
+const CROWD_CONNECTIONS: usize = 150;
 
 /// A delayed consequence of an action.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -89,7 +89,7 @@
 pub fn run(options: &Options) -> Result<Report, String> {
     let schedule = Schedule::draw(options.seed);
     let site = Site::start(BOXES, &options.setup())?;
-    site.world.observations().checker.set_grace(GRACE_MS);
+    site.world.observations().checker.set_grace(LATE_ANSWER_GRACE_MS);
     for (one, wait_ms) in site.boxes.iter().zip(&schedule.answer_delays_ms) {
         one.set_answer_delay(*wait_ms);
     }
@@ -194,7 +194,7 @@
                 if self.call(router, &Call::Evacuate) {
                     self.figures.evacuations += 1;
                     self.slots[router].evacuated_at = Some(now);
-                    self.later.push((now + LEFT_MS, Later::FrontLeaves(router)));
+                    self.later.push((now + WEB_SERVERS_LEAVE_MS, Later::FrontLeaves(router)));
                     self.later.push((now + AUDIT_MS, Later::Audit(router)));
                 }
             }
@@ -220,7 +220,7 @@
             Act::Crowd(router) => {
                 let address = lock(&self.clients.routers[router]).address;
                 let one = || address.and_then(|at| TcpStream::connect_timeout(&at, CONNECT_TIMEOUT).ok());
-                self.crowd.extend((0..CROWD).map_while(|_| one()));
+                self.crowd.extend((0..CROWD_CONNECTIONS).map_while(|_| one()));
             }
             Act::Fail(at, failure) => {
                 self.site.boxes[at].endpoints.iter().for_each(|endpoint| endpoint.fail(failure));
@@ -252,11 +252,11 @@
         }
         self.figures.ends += 1;
         if slot.ending.is_none() {
-            self.later.push((now + LEFT_MS, Later::FrontLeaves(router)));
+            self.later.push((now + WEB_SERVERS_LEAVE_MS, Later::FrontLeaves(router)));
         }
         let longest = CLASSES.iter().map(|class| class.client_timeout_ms).fold(0.0, f64::max);
-        let longest = (longest * self.schedule.deadline_scale).min(LONGEST_MS);
-        self.later.push((now + longest + KILL_MORE_MS, Later::Kill(router)));
+        let longest = (longest * self.schedule.deadline_scale).min(MAX_DEADLINE_MS);
+        self.later.push((now + longest + KILL_MARGIN_MS, Later::Kill(router)));
     }
 
     fn carry_out(&mut self, what: Later) {
@@ -305,7 +305,7 @@
             lock(&self.clients.routers[router]).killed_at = Some(now);
             daemon.kill();
             self.figures.killed += 1;
-            self.figures.examples.push(format!("killed: router {router} at {now:.0} ms, it still ran"));
+            self.figures.examples.push(format!("killed: router {router} at {now:.0} ms, still running"));
         } else if !daemon.wait_for_exit() {
             self.figures.bad_ends += 1;
         }
--- a/crates/frostturn-lab/src/shims.rs
+++ b/crates/frostturn-lab/src/shims.rs
@@ -59,18 +59,18 @@
         }
         let library = dir.join("libfrostturn_shims.so");
         std::fs::write(&library, LIBRARY)?;
-        let mut words = Vec::new();
-        words.extend(self.syscalls.as_ref().map(|calls| format!("syscalls={calls}")));
-        words.extend(self.disk.map(|share| format!("disk={share}")));
+        let mut settings = Vec::new();
+        settings.extend(self.syscalls.as_ref().map(|calls| format!("syscalls={calls}")));
+        settings.extend(self.disk.map(|share| format!("disk={share}")));
         if !self.clock_steps.is_empty() {
             let start = boot_ms();
             let step = |step: &ClockStep| format!("{}@{}", step.by_ms, start + (step.after_s * 1e3) as i64);
             let steps: Vec<String> = self.clock_steps.iter().map(step).collect();
-            words.push(format!("clock={}", steps.join(",")));
+            settings.push(format!("clock={}", steps.join(",")));
         }
         Ok(vec![
             ("LD_PRELOAD".to_owned(), library.display().to_string()),
-            (VARIABLE.to_owned(), words.join(" ")),
+            (VARIABLE.to_owned(), settings.join(" ")),
         ])
     }
 }
--- a/crates/frostturn-lab/src/site.rs
+++ b/crates/frostturn-lab/src/site.rs
@@ -19,8 +19,11 @@
 /// Status of a machine in the discovery service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Status {
+    /// It serves.
     Active,
+    /// It drains.
     Leaving,
+    /// It is removed.
     Left,
 }
 
@@ -38,10 +41,13 @@
 /// A running site.
 #[derive(Debug)]
 pub struct Site {
+    /// State shared by all stand-ins.
     pub world: Arc<World>,
+    /// The discovery service.
     pub discovery: Arc<DiscoveryServer>,
     /// Cache boxes, then the parent and the origin.
     pub boxes: Vec<Arc<Machine>>,
+    /// Folder for the files of the run.
     pub dir: PathBuf,
     /// Additional environment variables of the daemons.
     pub environment: Vec<(String, String)>,
@@ -64,7 +70,7 @@
 impl Site {
     /// Starts `count` boxes, a parent and the origin.
     pub fn start(count: usize, setup: &Setup) -> Result<Self, String> {
-        let io = |e: std::io::Error| format!("stand-ins: {e}");
+        let io = |e: std::io::Error| format!("cannot start the stand-ins: {e}");
         static SITES: AtomicUsize = AtomicUsize::new(0);
         let which = SITES.fetch_add(1, Ordering::Relaxed);
         let own = || std::env::temp_dir().join(format!("frostturn-lab-{}-{which}", std::process::id()));
@@ -129,7 +135,7 @@
 
     /// Writes this text as the operator's file.
     pub fn write_text(&self, text: &str) -> Result<(), String> {
-        std::fs::write(&self.operator, text).map_err(|e| format!("the operator's file: {e}"))
+        std::fs::write(&self.operator, text).map_err(|e| format!("cannot write the operator's file: {e}"))
     }
 
     /// Starts the daemon.
--- a/crates/frostturn-lab/src/world.rs
+++ b/crates/frostturn-lab/src/world.rs
@@ -81,9 +81,9 @@
     }
 
     /// Logs an event of a stand-in, if logs are kept.
-    pub fn event(&self, words: impl FnOnce() -> String) {
+    pub fn event(&self, text: impl FnOnce() -> String) {
         if let Some(file) = &self.events {
-            let line = format!("{:.3} {}\n", self.now(), words());
+            let line = format!("{:.3} {}\n", self.now(), text());
             let mut file = file.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
             let _ = file.write_all(line.as_bytes()); // A lost log line doesn't affect the run.
         }
--- a/crates/frostturn-lab/tests/clients.rs
+++ b/crates/frostturn-lab/tests/clients.rs
@@ -96,7 +96,7 @@
                 let head = "Status: 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n";
                 let answer = fastcgi::answer(record.request, head, b"").concat();
                 if stream.write_all(&answer).is_err() {
-                    return; // The write half is closed; requests sent before the client sees the close are read and dropped.
+                    return; // The write half is closed; further requests are dropped.
                 }
             }
         }
--- a/crates/frostturn-lab/tests/fleet.rs
+++ b/crates/frostturn-lab/tests/fleet.rs
@@ -29,7 +29,7 @@
 
 fn rig(routers: usize, times: &str) -> Rig {
     let program = PathBuf::from(env!("CARGO_BIN_EXE_frostturn-lab"));
-    let mut rig = Rig::new(2, routers, times, Some(program), 7, &Setup::default()).expect("a rig");
+    let mut rig = Rig::new(2, routers, times, Some(program), 7, &Setup::default()).expect("a fleet");
     rig.start_all(true).expect("all start");
     wait_until_whole(&rig, &all(&rig));
     rig
@@ -46,7 +46,12 @@
 
 /// Returns when any router first called this one gone.
 fn first_gone(rig: &Rig, one: usize) -> Option<f64> {
-    let gone = |logged: &LoggedEvent| matches!(logged.event, FleetEvent::MemberChanged { other, state: Gone, .. } if other == one);
+    let gone = |logged: &LoggedEvent| {
+        matches!(
+            logged.event,
+            FleetEvent::MemberChanged { other, state: Gone, .. } if other == one
+        )
+    };
     all(rig)
         .iter()
         .flat_map(|by| logged_events(rig, *by))
@@ -70,7 +75,7 @@
 #[test]
 fn ports_bound_by_others_in_the_meantime_take_no_router_its_socket() {
     let program = PathBuf::from(env!("CARGO_BIN_EXE_frostturn-lab"));
-    let mut rig = Rig::new(2, 3, "", Some(program), 7, &Setup::default()).expect("a rig");
+    let mut rig = Rig::new(2, 3, "", Some(program), 7, &Setup::default()).expect("a fleet");
     // Another process may bind port 0 between the choice of a router's port and its start. A port that is
     // taken already serves the same purpose.
     let others: Vec<_> =
@@ -90,7 +95,7 @@
     wait_until_whole(&rig, &[0, 1, 2]);
     let before = rig.view(0).unwrap().members[0].start.clone();
     rig.kill(1);
-    rig.spawn(1, true, true).expect("and at once again");
+    rig.spawn(1, true, true).expect("it starts again at once");
     rig.wait_until("its new start is known", |rig| {
         rig.view(0).is_some_and(|view| view.members[0].start > before)
     })
@@ -127,14 +132,17 @@
         .unwrap();
     rig.pause(3, false);
     wait_until_whole(&rig, &all(&rig));
-    let (knew, gone) = (first_cut_off(&rig, 3).expect("it says so"), first_gone(&rig, 3).expect("by all"));
+    let (knew, gone) = (
+        first_cut_off(&rig, 3).expect("the router logs that it is cut off"),
+        first_gone(&rig, 3).expect("the others call it gone"),
+    );
     assert!(knew < gone, "it was cut off from {knew} on, and called gone at {gone}");
     let log = rig.log(3);
     assert!(log.contains("stood still for"), "{log}");
 }
 
 #[test]
-fn a_router_whose_datagrams_are_lost_knows_it_first_and_one_that_receives_none_is_cut_off_but_not_gone() {
+fn a_router_that_cannot_send_knows_it_first_and_one_that_cannot_receive_is_not_gone() {
     let rig = rig(5, QUICK);
     rig.set_links(CUT, |from, _| from == 2);
     rig.wait_until("it is gone, and cut off", |rig| {
@@ -166,13 +174,13 @@
 fn relaying_keeps_all_routers_alive_when_a_pair_is_cut_and_in_a_chain() {
     let rig = rig(5, "");
     rig.set_links(CUT, |from, to| (from, to) == (0, 1));
-    rig.wait_until("the pair sees that it is one-sided", |rig| {
+    rig.wait_until("the pair sees a one-way link", |rig| {
         path(rig, 0, 1) == Some(Reachability::OneWay) && path(rig, 1, 0) == Some(Reachability::OneWay)
     })
     .unwrap();
     rig.set_links(Link::default(), |_, _| true);
     rig.set_links(CUT, |from, to| from.abs_diff(to) > 1);
-    rig.wait_until("the ends hear each other through others", |rig| {
+    rig.wait_until("the ends of the chain reach each other through relays", |rig| {
         path(rig, 0, 4) == Some(Reachability::Relayed) && path(rig, 4, 0) == Some(Reachability::Relayed)
     })
     .unwrap();
@@ -202,7 +210,7 @@
     let before = rig.view(0).unwrap().members[0].start.clone();
     // Events logged while the routers started one after another don't belong to this upgrade.
     let started = [0, 2].map(|by| (by, logged_events(&rig, by).len()));
-    let old = rig.spawn(1, true, true).expect("beside the old one").expect("there was one");
+    let old = rig.spawn(1, true, true).expect("a second process starts").expect("the old process");
     old.terminate();
     rig.wait_until("the new process speaks for the router", |rig| {
         rig.view(0).is_some_and(|view| view.members[0].start > before)
@@ -210,7 +218,12 @@
     .unwrap();
     assert!(old.wait_for_exit());
     wait_until_whole(&rig, &[0, 1, 2]);
-    let blinked = |logged: &LoggedEvent| matches!(logged.event, FleetEvent::MemberChanged { other: 1, state, .. } if state != Alive);
+    let blinked = |logged: &LoggedEvent| {
+        matches!(
+            logged.event,
+            FleetEvent::MemberChanged { other: 1, state, .. } if state != Alive
+        )
+    };
     let since = started.iter().flat_map(|(by, logged)| logged_events(&rig, *by).split_off(*logged));
     assert!(!since.into_iter().any(|logged| blinked(&logged)), "{}", rig.log(0));
     // A process without a successor announces that it leaves, and nothing waits for it.
@@ -229,7 +242,7 @@
     })
     .unwrap();
     for one in [0, 1] {
-        let old = rig.spawn(one, true, true).expect("beside the old one").expect("there was one");
+        let old = rig.spawn(one, true, true).expect("a second process starts").expect("the old process");
         old.terminate();
         rig.wait_until("the new process speaks for the router", |rig| rig.has_status(one, "majority"))
             .unwrap();
@@ -249,7 +262,7 @@
     // The second router now listens on the first one's address, where datagrams for the first still arrive.
     rig.move_to(2, one).unwrap();
     rig.spawn(2, true, true).expect("it starts");
-    rig.wait_until("three are whole, one is gone", |rig| {
+    rig.wait_until("three see each other, and call the fourth gone", |rig| {
         [0, 2, 3].iter().all(|at| rig.sees(*at, &[0, 2, 3], Alive) && rig.sees(*at, &[1], Gone))
     })
     .unwrap();
--- a/crates/frostturn-shims/src/plan.rs
+++ b/crates/frostturn-shims/src/plan.rs
@@ -11,27 +11,34 @@
     Socket,
     Connect,
     SetSockOpt,
+    /// epoll_ctl(2), additions only.
     EpollAdd,
     Accept,
     Read,
     Write,
+    /// An established connection breaks under a read or write.
     Sever,
 }
 
 /// A step of the wall clock: its size, and the time of `CLOCK_BOOTTIME` from which it applies.
 #[derive(Clone, Copy, Debug)]
 pub struct ClockStep {
+    /// Size in milliseconds; negative: back.
     pub by_ms: i64,
+    /// `CLOCK_BOOTTIME` in milliseconds.
     pub from_boot_ms: i64,
 }
 
 /// The faults of this process.
 #[derive(Debug, Default)]
 pub struct Plan {
+    /// Seed of the random faults.
     pub seed: u64,
     syscall_share: f64,
     syscalls: Vec<Call>,
+    /// Share of calls on regular files that fail.
     pub disk_share: f64,
+    /// Steps of the wall clock.
     pub clock_steps: Vec<ClockStep>,
 }
 
