--- a/crates/frostturn-lab/src/check.rs
+++ b/crates/frostturn-lab/src/check.rs
@@ -38,7 +38,7 @@
     pub doubled: u64,
     /// Work that arrived at a machine more than a second after its drain was announced.
     pub drain: u64,
-    /// Cold starts in which a machine received more than its budget within a second.
+    /// Machines that received more than their budget within a second of a cold start.
     pub cold: u64,
     /// Answers with a copy from before a purge.
     pub purge: u64,
--- a/crates/frostturn-lab/src/relay.rs
+++ b/crates/frostturn-lab/src/relay.rs
@@ -120,7 +120,7 @@
         self.addresses[from][to]
     }
 
-    /// Changes the address on which a router listens.
+    /// Changes the listen address of a router.
     pub fn set_listen_address(&self, to: usize, listen: SocketAddr) {
         self.listen_addresses.lock().unwrap_or_else(|poisoned| poisoned.into_inner())[to] = listen;
     }
--- a/crates/frostturn-lab/src/scenarios/addresses.rs
+++ b/crates/frostturn-lab/src/scenarios/addresses.rs
@@ -1,4 +1,4 @@
-//! Machines with three endpoints each, which fail in every way, up to two at once.
+//! Machines with three endpoints each, which fail in each manner, up to two at once.
 
 use super::Options;
 use crate::check::{Budget, Millis};
@@ -282,14 +282,14 @@
     use Failure::{BlackHole, Missing, Refused, WrongType};
     let refused = |failure| matches!(failure, Refused | Missing | WrongType);
     let usual = quantile(seen.usual_delays_ms.clone(), 0.5);
-    // Extra delays of first requests on an endpoint while a preferred one of their machine failed this way,
+    // Extra delays of first requests on an endpoint while a preferred one of their machine failed like this,
     // between `after` and `before` since the failure began.
     let delays = |fails: &dyn Fn(Failure) -> bool, after: Millis, before: Millis| {
         let during = |machine: usize, endpoint: usize, at: Millis| {
             let better = plan.failures.iter().filter(|s| s.machine == machine && s.endpoint < endpoint);
             let now: Vec<&FailureInterval> =
                 better.filter(|s| at >= start + s.from && at <= start + s.to).collect();
-            // If a preferred endpoint fails in another way, the delay is not counted.
+            // If a preferred endpoint fails in another manner, the delay is not counted.
             now.iter().all(|s| fails(s.failure) || refused(s.failure))
                 && now.iter().any(|s| {
                     let since = at - start - s.from;
