--- a/crates/frostturn-lab/src/scenarios/plugins.rs
+++ b/crates/frostturn-lab/src/scenarios/plugins.rs
@@ -127,13 +127,13 @@
     }
     let mut plugins = Plugins::new(&settings);
     plugins.replace(0.0, &order, loaded);
-    let watch = Watch::new(&settings);
+    let machine_stats = Watch::new(&settings);
     let about =
         About { class: 0, object: None, piece: 0, group: 0, size_kb: None, left_ms: 900.0, repeat: false };
     let mut most: f64 = 0.0;
     for turn in 0..60 {
         let start = Instant::now();
-        plugins.request(f64::from(turn) * 500.0, &about, &watch);
+        plugins.request(f64::from(turn) * 500.0, &about, &machine_stats);
         most = most.max(start.elapsed().as_secs_f64() * 1e6);
         plugins.take_lines();
     }
