--- a/crates/frostturn-lab/src/scenarios/plugins.rs
+++ b/crates/frostturn-lab/src/scenarios/plugins.rs
@@ -1,4 +1,4 @@
-//! Plug-ins that mean harm, drawn by the seed, exchanged under load every 100 ms, beside a box that starts cold.
+//! Hostile plug-ins drawn by the seed, replaced under load every 100 ms, while a box starts cold.
 
 use super::Options;
 use crate::check::Millis;
@@ -18,20 +18,21 @@
 use std::time::{Duration, Instant};
 
 const BOXES: usize = 8;
-const RATE: f64 = 1850.0;
-const QUIET_SECONDS: f64 = 9.0;
+const REQUESTS_PER_S: f64 = 1850.0;
+const BASELINE_SECONDS: f64 = 9.0;
 const SECONDS: f64 = 24.0;
-const SWAP_MS: u64 = 100;
-/// When a box dies and when it is back, cold.
+const RELOAD_INTERVAL_MS: u64 = 100;
+/// Times at which a box dies and returns cold.
 const DIES_MS: Millis = 2500.0;
-const BACK_MS: Millis = 3500.0;
-/// What one event may hold the loop for, with all plug-ins spending all of their budgets. Stated in the design note.
-const HOLD_US: f64 = 5000.0;
+const RETURNS_MS: Millis = 3500.0;
+/// Longest time that one event may hold the event loop, in microseconds, with all plug-ins spending their
+/// whole budgets.
+const MAX_LOOP_HOLD_US: f64 = 5000.0;
 
-/// Plays it.
+/// Runs the scenario.
 pub fn run(options: &Options) -> Result<Report, String> {
     let hold = loop_hold_us()?;
-    let (usual, load, _) = serve(options, QUIET_SECONDS, false)?;
+    let (usual, load, _) = serve(options, BASELINE_SECONDS, false)?;
     let seconds = options.seconds.unwrap_or(SECONDS);
     let (mut report, hostile, taken) = serve(options, seconds, true)?;
     let p99 = |load: &Load| load.latency.value_at_quantile(0.99) as f64;
@@ -40,8 +41,12 @@
     bounds.push(Bound::most("p99_ratio", p99(&hostile) / p99(&load).max(1.0), 1.15));
     bounds.push(Bound::most("swap_dropped", (report.rules.lost + hostile.unsent) as f64, 0.0));
     bounds.push(Bound::most("cold_overload", report.rules.cold as f64, 0.0));
-    bounds.push(Bound::most("loop_hold_max_us", hold, HOLD_US));
-    bounds.push(Bound::least("swaps_taken", taken as f64, (seconds * 1e3 / SWAP_MS as f64 * 0.5).floor()));
+    bounds.push(Bound::most("loop_hold_max_us", hold, MAX_LOOP_HOLD_US));
+    bounds.push(Bound::least(
+        "swaps_taken",
+        taken as f64,
+        (seconds * 1e3 / RELOAD_INTERVAL_MS as f64 * 0.5).floor(),
+    ));
     bounds.push(Bound::least("requests", report.requests as f64, 40_000.0));
     Ok(report)
 }
@@ -55,11 +60,11 @@
     drawn.truncate(if hostile { MAX_PLUGINS } else { 0 });
     write(&site, &all, &drawn)?;
     let daemon = site.daemon(options.daemon.as_deref(), false, options.seed)?;
-    let (world, address, rate) = (site.world.clone(), daemon.address, options.rate.unwrap_or(RATE));
+    let (world, address, rate) = (site.world.clone(), daemon.address, options.rate.unwrap_or(REQUESTS_PER_S));
     let (start, seed) = (world.now(), options.seed);
     let load = thread::spawn(move || clients::run(&world, address, rate, seconds * 1e3, seed));
     let mut next = start;
-    let (mut died, mut back) = (false, false);
+    let (mut died, mut returned) = (false, false);
     while site.world.now() < start + seconds * 1e3 {
         let at = site.world.now() - start;
         let endpoints =
@@ -68,16 +73,16 @@
             died = true;
             endpoints(Failure::Refused);
         }
-        if !back && at >= BACK_MS {
-            back = true;
+        if !returned && at >= RETURNS_MS {
+            returned = true;
             endpoints(Failure::None);
             site.boxes[0].restart_cold();
             let budget = crate::check::Budget { first: 3.0 * COLD_FROM * CAPACITY, last: 3.0 * CAPACITY };
             site.announce_status(0, Status::Active, Some((COLD_MS, budget)));
         }
         if hostile && site.world.now() >= next {
-            next += SWAP_MS as f64;
-            // One of them gives endpoint to another: all files are read anew.
+            next += RELOAD_INTERVAL_MS as f64;
+            // One plug-in is replaced by another, and all files are read again.
             let place = rng.random_range(0..drawn.len());
             let fresh = (0..all.len()).filter(|one| !drawn.contains(one)).collect::<Vec<usize>>();
             drawn[place] = fresh[rng.random_range(0..fresh.len())];
@@ -92,7 +97,7 @@
     ended.map(|()| (report, load, taken))
 }
 
-/// Writes the programs and the operator's file.
+/// Writes the plug-ins and the operator's file.
 fn write(site: &Site, all: &[(&'static str, String)], drawn: &[usize]) -> Result<(), String> {
     let mut text = String::from("(frostturn (plugins\n");
     for at in drawn {
@@ -107,8 +112,8 @@
     site.write_text(&text)
 }
 
-/// The longest that one request's advice holds the loop, in microseconds, with as many endless loops as there may be
-/// plug-ins, of which each pauses and is started afresh.
+/// Measures the longest time that the advice for one request holds the event loop, in microseconds. As many
+/// endless loops are loaded as plug-ins are allowed; each is paused and restarted.
 fn loop_hold_us() -> Result<f64, String> {
     let class = ClassSettings { name: "page".into(), deadline_ms: 1500.0, ..ClassSettings::default() };
     let settings = Settings { classes: vec![class], ..Settings::default() };
@@ -122,7 +127,7 @@
     }
     let mut plugins = Plugins::new(&settings);
     plugins.replace(0.0, &order, loaded);
-    let watch = MachineStats::new(&settings);
+    let machine_stats = MachineStats::new(&settings);
     let about = RequestInfo {
         class: 0,
         object: None,
@@ -135,7 +140,7 @@
     let mut most: f64 = 0.0;
     for turn in 0..60 {
         let start = Instant::now();
-        plugins.request(f64::from(turn) * 500.0, &about, &watch);
+        plugins.request(f64::from(turn) * 500.0, &about, &machine_stats);
         most = most.max(start.elapsed().as_secs_f64() * 1e6);
         plugins.take_lines();
     }
--- a/src/operator/addresses.rs
+++ b/src/operator/addresses.rs
@@ -63,7 +63,10 @@
         if let Some(endpoint) =
             endpoints.iter().find(|endpoint| !settings.family_order.contains(&endpoint.family()))
         {
-            reader.fault((1, 1), format!("{endpoint} of {name} has an address family that the order does not include"));
+            reader.fault(
+                (1, 1),
+                format!("{endpoint} of {name} has an address family that the order does not include"),
+            );
         }
     }
     settings
