--- a/src/addresses/table.rs
+++ b/src/addresses/table.rs
@@ -39,16 +39,17 @@
     Unreachable,
 }
 
+/// These texts are values of the field `outcome` of JSON log lines, which tools match.
 impl fmt::Display for EndpointFailure {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             Self::Refused => "refused",
-            Self::ConnectTimeout => "not connected in time",
-            Self::Overtaken => "another endpoint connected first",
-            Self::Unresponsive => "connected but unresponsive",
+            Self::ConnectTimeout => "not up in time",
+            Self::Overtaken => "another path was up first",
+            Self::Unresponsive => "up and mute",
             Self::Broken => "broken",
-            Self::WrongName => "another machine answers there",
-            Self::Unreachable => "no route to the endpoint",
+            Self::WrongName => "somebody else answers there",
+            Self::Unreachable => "no route leads there",
         })
     }
 }
