--- a/src/fleet/epochs/mod.rs
+++ b/src/fleet/epochs/mod.rs
@@ -14,20 +14,25 @@
 //! The safety guarantees of [`super`] are kept by:
 //!
 //! - *Self-detection first*: (1) a router has a quorum by a liveness ballot that a majority has signed, for
-//!   `lease_ms` from when it entered the ballot's epoch ([`EpochQuorum::confirm`]). (2) A router that signs a
-//!   ballot has heard that all its members were in that epoch, so the silence that it measures of each began
-//!   later (`record_ballot_members`). It votes an incarnation failed after at least `refuse_after_ms` of
-//!   silence (`check_peer`), and never again confirms that incarnation ([`ballots::may_sign`]; the exceptions
-//!   to a signature travel with it). (3) An incarnation is declared gone when so many have signed a failure
-//!   ballot that the rest is no majority (`check_failure_ballot`), or when another router reports that
-//!   ([`IncarnationStatus::Gone`]). (4) `lease_ms` is shorter than `refuse_after_ms` by more than clocks
-//!   differ. Every majority of (1) contains a voter of (3), which signed before its silence began, so the
-//!   lease is over when it votes. (5) The process before a start without memory may have voted: a router that
-//!   was in a term before it learned of that start does not count that start's signature (`counts_signer`).
+//!   `lease_ms` from when it entered the ballot's `since_epoch`, or the first later epoch that it entered
+//!   ([`EpochQuorum::confirm`]). `since_epoch` may be earlier than the epoch in the ballot's key. (2) A
+//!   router that signs a ballot has heard that all its members were in `since_epoch` or a later epoch, so the
+//!   silence that it measures of each began after that member had entered it (`record_ballot_members`). It
+//!   votes an incarnation failed after at least `refuse_after_ms` of silence (`check_peer`), and never again
+//!   confirms that incarnation ([`ballots::may_sign`]; the exceptions to a signature travel with it). (3) An
+//!   incarnation is declared gone when so many have signed a failure ballot that the rest is no majority
+//!   (`check_failure_ballot`), or when another router reports that ([`IncarnationStatus::Gone`]). (4)
+//!   `lease_ms` is shorter than `refuse_after_ms` by more than clocks differ. If router A has a lease by (1)
+//!   and is declared gone by (3), some router B has signed both ballots, and it signed the liveness ballot
+//!   before it voted A failed. The silence of A that B measures began after A's lease had begun, so the lease
+//!   is over when B votes. (5) A router that restarted without its state may have voted before the restart: a
+//!   router does not count its signature for a term that it advertised before it learned of the new start
+//!   (`counts_signer`).
 //! - *No stale starts*: start numbers only grow ([`IncarnationTable::merge`]), and the epochs that others
 //!   report are taken over with certainty only where both sides know the same starts
 //!   ([`IncarnationTable::compare_blocks`]).
-//! - *Terms end for good*: [`EpochQuorum::update`].
+//! - *Terms end for good*: when a lease expires, the next term is advertised ([`EpochQuorum::update`]), and
+//!   ballots confirm only the advertised term ([`EpochQuorum::confirm`]).
 
 pub mod ballots;
 pub mod encoding;
@@ -58,7 +63,8 @@
 const FULL_DATAGRAM_BYTES: usize = 1190;
 /// Bytes of a datagram that are reserved for incarnations, where there are any to send.
 const INCARNATION_BYTES: usize = 300;
-/// A liveness ballot may lack one in so many of the routers that were heard of.
+/// A liveness ballot omits at most this part (one divided by this number) of the members that the largest
+/// possible one would have.
 const MISSING_MEMBERS_DIVISOR: usize = 10;
 /// Periods after which information about an epoch is too old, where most of it arrives in time.
 const STALE_PERIODS: f64 = 2.3;
@@ -70,26 +76,29 @@
 /// once.
 const PROBE_FRACTION: f64 = 0.7;
 const MAX_PROBES: usize = 2;
-/// Minimum time between two extra replies to one router, in ms.
+/// Minimum time between two replies to one router, and between two rounds of probes, in ms.
 const MIN_REPLY_INTERVAL_MS: Millis = 150.0;
-/// Datagrams of the rate limit that extra replies leave unused.
+/// Datagrams of the rate limit that updates to outdated routers, and scheduled datagrams to random routers,
+/// leave unused.
 const RESERVED_DATAGRAMS: usize = 5;
 /// Minimum time from one term to the next when a router renews its term because too few signers that it may
 /// count are left, in ms.
 const MIN_TERM_MS: Millis = 1000.0;
 /// Signers that a router wants beyond a majority, as a fraction of the fleet.
 const SPARE_SIGNERS_FRACTION: f64 = 0.1;
-/// Routers that are due to be voted failed within so many periods are put on the ballot along with those that
-/// already are.
+/// A failure ballot lists the routers already voted failed, and those that are due to be within this many
+/// periods.
 const GROUPED_VOTE_PERIODS: f64 = 2.0;
-/// Periods in which a router that returns learns of all that happened while it was away. The wait is at most
-/// the least suspicion, since no incarnation is voted failed sooner after its beginning.
+/// Periods that a router waits for missed updates, after a stall or a new quorum, before it declares others
+/// gone. The wait is at most the minimum time to suspicion (`suspicion_ms[0]`), since no incarnation is voted
+/// failed sooner after its beginning.
 const CATCH_UP_PERIODS: f64 = 3.0;
 /// Periods in which a new start becomes known to nearly all routers.
 const NEW_START_PERIODS: f64 = 3.0;
-/// The factor by which that time grows when all routers are new, in proportion to their share.
+/// Growth of that time, as a multiple of it, when all routers are new; in proportion to the share of new
+/// routers otherwise.
 const ALL_NEW_EXTRA_FACTOR: f64 = 6.0;
-/// One in so many randomly addressed datagrams goes to a router that is missing.
+/// On average one randomly addressed datagram out of this many goes to a router that is not alive.
 const MISSING_TARGET_INTERVAL: u64 = 6;
 /// Weight of the latest information in the smoothed delay.
 const DELAY_WEIGHT: f64 = 0.2;
@@ -99,9 +108,9 @@
 struct Peer {
     name: String,
     address: SocketAddr,
-    /// The latest epoch that its known start has certainly been in.
+    /// The latest epoch that its known start is certain to have been in.
     last_epoch: Option<u32>,
-    /// The same, also by routers that may mean another start of it: this only shows that the router is not
+    /// The same, including reports that may be about an earlier start: they only show that the router is not
     /// silent.
     possible_epoch: Option<u32>,
     /// When it was last heard of, moved forward by the stalls of this process. Silence is measured from here.
@@ -154,9 +163,9 @@
     scheduled_sends: VecDeque<(Millis, Option<usize>)>,
     next_check_at: Millis,
     rate_limiter: RateLimiter,
-    /// Routers to which an extra reply is due, and the blocks that each lacks: bounded by
-    /// [`MAX_PENDING_REPLIES`].
-    pending_replies: Vec<(usize, Vec<bool>)>,
+    /// Outdated routers that are to be sent an update, and the blocks that each lacks: bounded by
+    /// [`MAX_PENDING_UPDATES`].
+    pending_updates: Vec<(usize, Vec<bool>)>,
     seed: u64,
     random_draws: u64,
     datagram_count: usize,
@@ -170,7 +179,7 @@
     counts: Counts,
 }
 
-const MAX_PENDING_REPLIES: usize = 16;
+const MAX_PENDING_UPDATES: usize = 16;
 
 impl EpochMembership {
     /// Creates the membership of a router that starts now; see [`Fleet::new`](super::Fleet::new). The name
@@ -221,7 +230,7 @@
             scheduled_sends: VecDeque::new(),
             next_check_at: now,
             rate_limiter: RateLimiter::new(now),
-            pending_replies: Vec::new(),
+            pending_updates: Vec::new(),
             seed,
             random_draws: 0,
             datagram_count: 0,
@@ -340,16 +349,16 @@
         if !is_news && packet.epoch + KEPT_EPOCHS < self.epoch {
             return Err(RejectReason::Stale); // Outdated, or received before.
         }
-        // A router that lags behind, or is the only one that knows something else, is sent what it lacks.
+        // A router whose epoch or incarnations are out of date is sent what it lacks.
         let blocks_to_send = self.incarnations.blocks_to_send(&packet.block_digests);
         let behind = packet.epoch + 2 < self.epoch;
         if (behind || blocks_to_send.contains(&true))
             && now - self.peers[from].last_reply_at >= MIN_REPLY_INTERVAL_MS
         {
-            let may_queue = self.pending_replies.iter().all(|(router, _)| *router != from)
-                && self.pending_replies.len() < MAX_PENDING_REPLIES;
+            let may_queue = self.pending_updates.iter().all(|(router, _)| *router != from)
+                && self.pending_updates.len() < MAX_PENDING_UPDATES;
             if may_queue {
-                self.pending_replies.push((from, blocks_to_send));
+                self.pending_updates.push((from, blocks_to_send));
             }
         }
         if packet.epoch > self.epoch {
@@ -361,7 +370,7 @@
             self.peers[from].last_reply_at = now;
             self.send(from, now, None);
         }
-        self.send_replies(now);
+        self.send_pending_updates(now);
         Ok(())
     }
 
@@ -426,7 +435,7 @@
             && incarnation.status > IncarnationStatus::Present
             && !self.leaving
         {
-            // Others have voted this term failed: the next one is advertised.
+            // Another router doubts this term, or has declared it gone or left: the next one is advertised.
             self.quorum.advertise_term(incarnation.term + 1, now);
             self.publish_own_incarnation(now);
         }
@@ -447,14 +456,15 @@
             return false;
         }
         // Uncertain information, which may be about an earlier start, counts once for each epoch: otherwise
-        // it would go on renewing the sign of life after that start has ended.
+        // repeated reports would restart the silence again and again after that start has ended.
         if certain && peer.last_epoch.is_none_or(|known| epoch > known) {
             peer.last_epoch = Some(epoch);
         } else if certain || peer.possible_epoch.is_some_and(|known| epoch <= known) {
             return false;
         }
-        // Certain information restarts the silence even if the epoch is not new: the uncertain information
-        // before it may have been about an earlier start.
+        // Never true here: such information has been rejected above. Certain information goes on and restarts
+        // the silence even if uncertain information about this or a later epoch came before, as that may have
+        // been about an earlier start.
         if !certain && peer.possible_epoch.is_some_and(|known| epoch <= known) {
             return true;
         }
@@ -474,8 +484,9 @@
         true
     }
 
-    /// Whether information about an epoch arrives so much later than most that it is ignored. It would prove
-    /// nothing about a router that has died since, but restart its silence, at each router at another time.
+    /// Whether information about an epoch arrives so much later than most that it is ignored. It does not
+    /// show that a router is still alive; counting it would restart the measured silence, at different times
+    /// on different routers.
     fn is_stale(&self, epoch: u32, now: Millis) -> bool {
         let usual = 2.0 * (self.usual_delay_ms - self.settings.period_ms).max(0.0);
         self.quorum
@@ -483,7 +494,7 @@
             .is_some_and(|at| now - at > usual + STALE_PERIODS * self.settings.period_ms)
     }
 
-    /// Whether a router is due to be voted failed within so many periods if nothing more is heard of it.
+    /// Whether a router is due to be voted failed within `periods` periods if nothing more is heard of it.
     fn vote_due_within(&self, router: usize, periods: f64, now: Millis) -> bool {
         let peer = &self.peers[router];
         peer.state == State::Suspect
@@ -560,8 +571,9 @@
         keys.into_iter().for_each(|key| self.process_ballot(key, now));
     }
 
-    /// Records the members of a liveness ballot before signing it: they were in the ballot's epoch, so the
-    /// silence that this router measures of each began after it had entered that epoch.
+    /// Records the members of a liveness ballot before signing it: they were in the ballot's `since_epoch`
+    /// or a later epoch, so the silence that this router measures of each began after the member had entered
+    /// it.
     fn record_ballot_members(&mut self, key: BallotKey, exceptions: &FixedBitSet, now: Millis) {
         if key.0 == BallotKind::Liveness {
             let Some(ballot) = self.ballots.get(&key) else { return };
@@ -658,6 +670,7 @@
     }
 
     /// Returns the most signatures on any recent liveness ballot that lists this router, its own included.
+    /// With a quorum, at least a majority: that many have signed within the lease, on whichever ballot.
     pub(super) fn heard_by(&self, now: Millis) -> usize {
         let containing_self =
             self.ballots.of_kind(BallotKind::Liveness).filter(|(_, ballot)| ballot.members.contains(self.me));
@@ -705,7 +718,7 @@
             self.open_ballots(now);
             self.enter_epoch(self.epoch + 1, now);
         }
-        self.send_replies(now);
+        self.send_pending_updates(now);
     }
 
     /// Checks whether a router is silent, whether to vote it failed, and whether it is gone.
@@ -781,7 +794,7 @@
         }
     }
 
-    /// Opens the ballots of the current epoch, at its end.
+    /// Opens the ballots that are due at the end of the current epoch, if this router is to open any.
     fn open_ballots(&mut self, now: Millis) {
         let mut last_epochs: Vec<Option<u32>> = self.peers.iter().map(|peer| peer.last_epoch).collect();
         last_epochs[self.me] = Some(self.epoch);
@@ -898,7 +911,7 @@
         while let Some((_, to)) = self.scheduled_sends.front().filter(|(at, _)| now >= *at).copied() {
             self.scheduled_sends.pop_front();
             let spare = to.is_some()
-                || self.pending_replies.is_empty() && self.rate_limiter.available() > RESERVED_DATAGRAMS;
+                || self.pending_updates.is_empty() && self.rate_limiter.available() > RESERVED_DATAGRAMS;
             let to = if spare { to.or_else(|| self.random_peer()) } else { None };
             if let Some(router) = to {
                 self.send(router, now, None);
@@ -935,16 +948,18 @@
         ring.clone().find(wanted).or_else(|| ring.into_iter().find(|router| *router != self.me))
     }
 
-    /// Sends pending replies, as far as the rate limit allows.
-    fn send_replies(&mut self, now: Millis) {
+    /// Sends pending updates to outdated routers, as far as the rate limit allows.
+    fn send_pending_updates(&mut self, now: Millis) {
         while self.rate_limiter.available() > RESERVED_DATAGRAMS {
-            let Some((router, requested_blocks)) = self.pending_replies.pop() else { return };
+            let Some((router, blocks)) = self.pending_updates.pop() else { return };
             self.peers[router].last_reply_at = now;
-            self.send(router, now, Some(&requested_blocks));
+            self.send(router, now, Some(&blocks));
         }
     }
 
-    fn send(&mut self, router: usize, now: Millis, requested_blocks: Option<&[bool]>) {
+    /// Sends a datagram to a router, unless the rate limit is reached. `blocks`: the blocks of incarnations
+    /// that the router lacks, if it is sent an update.
+    fn send(&mut self, router: usize, now: Millis, blocks: Option<&[bool]>) {
         if router == self.me || self.rate_limiter.available() == 0 {
             return;
         }
@@ -970,11 +985,10 @@
         };
         // A router that has never had a quorum first learns and announces which routers there are.
         let joining = self.quorum.status(now) == QuorumStatus::Joining;
-        let max_bytes =
-            if joining || requested_blocks.is_some() { FULL_DATAGRAM_BYTES } else { USUAL_DATAGRAM_BYTES };
+        let max_bytes = if joining || blocks.is_some() { FULL_DATAGRAM_BYTES } else { USUAL_DATAGRAM_BYTES };
         let reserved_bytes = if joining {
             2 * INCARNATION_BYTES
-        } else if requested_blocks.is_some() {
+        } else if blocks.is_some() {
             INCARNATION_BYTES
         } else {
             self.incarnations.reserved_bytes(INCARNATION_BYTES)
@@ -987,7 +1001,7 @@
         );
         let room = wire::incarnation_room(&packet, max_bytes);
         let random = self.random_u64() as usize;
-        let mut entries = self.incarnations.entries(room, requested_blocks, random);
+        let mut entries = self.incarnations.entries(room, blocks, random);
         packet.incarnations = EncodedIncarnations::of(packet.own, entries.clone());
         let mut bytes = wire::encode(&self.settings.fleet, &packet);
         while bytes.len() > super::wire::MAX_DATAGRAM_BYTES && !entries.is_empty() {
