--- a/src/back/connection.rs
+++ b/src/back/connection.rs
@@ -85,7 +85,7 @@
         now: Millis,
         addresses: &AddressTable,
         id: &str,
-        max_streams: usize,
+        max_outstanding: usize,
     ) -> bool {
         let may_use = match (&self.trial, &self.endpoint) {
             // A single request at a time tests whether the endpoint works again.
@@ -98,7 +98,7 @@
             (None, Some(endpoint)) => addresses.accepts_requests(now, &self.machine, endpoint),
             (None, None) => true,
         };
-        let has_room = self.outstanding.len() < max_streams && !self.outstanding.contains_key(id);
+        let has_room = self.outstanding.len() < max_outstanding && !self.outstanding.contains_key(id);
         // A late answer under this id would be taken for the new one's.
         let id_unused = !self.closed_ids.iter().any(|(closed, _)| closed == id);
         has_room && id_unused && may_use && !self.retired && !self.is_unresponsive(now)
@@ -128,7 +128,7 @@
 
     /// Returns when the connection must be checked: a dial or greeting times out, an answer stalls, or the
     /// connection has been idle for too long.
-    pub(super) fn deadline(&self, idle_ms: Millis) -> Option<Millis> {
+    pub(super) fn deadline(&self, idle_timeout_ms: Millis) -> Option<Millis> {
         match self.connected_at {
             None if self.retired && self.outstanding.is_empty() => Some(self.idle_since),
             None => self.race.as_ref().map(DialRace::deadline),
@@ -138,7 +138,7 @@
             ),
             Some(_) if !self.outstanding.is_empty() || !self.output.is_empty() => None,
             Some(_) if self.retired => Some(self.idle_since),
-            Some(_) => Some(self.idle_since + IDLE_TIMEOUT_SHARE * idle_ms),
+            Some(_) => Some(self.idle_since + IDLE_TIMEOUT_SHARE * idle_timeout_ms),
         }
     }
 }
--- a/src/back/dials.rs
+++ b/src/back/dials.rs
@@ -251,7 +251,7 @@
         let connection = Connection {
             machine: machine.clone(),
             endpoint: None,
-            race: Some(DialRace::new(now, endpoints, delay, now + self.dial_ms)),
+            race: Some(DialRace::new(now, endpoints, delay, now + self.dial_timeout_ms)),
             dialed_at: now,
             connected_at: None,
             greeting_deadline: None,
--- a/src/back/mod.rs
+++ b/src/back/mod.rs
@@ -22,17 +22,18 @@
 /// A connection with unanswered requests that has received nothing for this long gets no further ones: its
 /// machine may have vanished without closing it. A new connection shows whether it has.
 const UNRESPONSIVE_MS: Millis = 500.0;
-/// Longest pause within an answer: machines send an answer once they have all of it. An answer that stops
-/// short never completes, and blocks every answer behind it.
+/// Longest pause within an answer. Machines begin to send an answer only once they have all of it, so after a
+/// longer pause the rest is not expected any more; an incomplete answer blocks every answer behind it.
 const ANSWER_STALL_MS: Millis = 300.0;
 /// Longest time for one answer in total; otherwise single bytes now and then could block the answers behind
 /// it forever.
 const ANSWER_TIMEOUT_MS: Millis = 1000.0;
 /// How often an unsent frame is moved when its connection closes.
 const MAX_MOVES: u8 = 3;
-/// Attempts on one connection from which a second one is opened, and connections per machine. Few attempts
-/// share a connection because one malformed answer closes it with all attempts on it.
+/// Number of outstanding requests at which a connection is crowded, so that another connection is opened. Few
+/// attempts share a connection because one malformed answer closes it with all attempts on it.
 const CROWDED_ATTEMPTS: usize = 2;
+/// Number of connections to one machine from which no further one is opened because others are crowded.
 const MAX_CONNECTIONS_PER_MACHINE: usize = 8;
 /// Share of the maximum number of connections above which no machine gets a further one.
 const EXTRA_CONNECTIONS_SHARE: f64 = 0.75;
@@ -41,18 +42,19 @@
 const IDLE_TIMEOUT_SHARE: f64 = 0.8;
 /// Time for the answer to a greeting, if the machine has no other endpoint.
 const GREETING_TIMEOUT_MS: Millis = 500.0;
-/// Answers to closed ids may still be on their way, and each attempt of a request reuses its id. This many
-/// ids are kept at least while they are younger than [`CLOSED_ID_LIFETIME_MS`], and this many at most.
+/// Minimum and maximum number of closed ids that a connection keeps, since answers to them may still be on
+/// their way and each attempt of a request reuses its id. Beyond the minimum, ids older than
+/// [`CLOSED_ID_LIFETIME_MS`] are removed; beyond the maximum, the oldest ones of any age.
 const CLOSED_IDS_KEPT: [usize; 2] = [64, 1024];
 const CLOSED_ID_LIFETIME_MS: Millis = 10_000.0;
 
-/// Another machine than the intended one answered the greeting.
+/// A machine other than the intended one answered the greeting.
 pub const WRONG_NAME: ProtocolError = ProtocolError("another machine answers at this endpoint");
 
 /// Number of a connection; never reused.
 pub type ConnectionKey = u64;
 
-/// What a connection has received.
+/// What a connection to an endpoint has received.
 #[derive(Clone, Debug, PartialEq)]
 pub enum EndpointEvent {
     /// The answer to an attempt.
@@ -63,7 +65,8 @@
     Late,
     /// An answer with an unknown id.
     Unknown,
-    /// The machine has answered the greeting, so the connection may carry requests. Not returned to callers.
+    /// The machine has answered the greeting, so the connection may carry requests.
+    /// [`ConnectionPool::receive`] handles it and does not return it.
     Greeted,
 }
 
@@ -74,7 +77,7 @@
     pub lost: Vec<(AttemptKey, Progress)>,
     /// The machines whose probes were lost.
     pub probes: Vec<CacheId>,
-    /// The connections that took over the unsent frames of a connection that was up.
+    /// The connections that took over the unwritten frames of a connection that was established.
     pub moved: BTreeSet<ConnectionKey>,
     /// The dials to close.
     pub dials: Vec<DialKey>,
@@ -137,23 +140,37 @@
     by_attempt: HashMap<AttemptKey, (ConnectionKey, String)>,
     last_key: ConnectionKey,
     next_probe: u64,
-    dial_ms: Millis,
-    idle_ms: Millis,
-    max_streams: usize,
+    dial_timeout_ms: Millis,
+    idle_timeout_ms: Millis,
+    max_outstanding: usize,
     max_connections: usize,
 }
 
 impl ConnectionPool {
-    /// Creates an empty pool without address settings. At most `max_connections` are open at a time.
-    pub fn new(dial_ms: Millis, idle_ms: Millis, streams: usize, max_connections: usize) -> Self {
-        Self::with_address_settings(dial_ms, idle_ms, streams, max_connections, None, 0)
+    /// Creates an empty pool without address settings. At most `max_connections` are open at a time, each
+    /// with at most `max_outstanding` unanswered requests. A connection must be established within
+    /// `dial_timeout_ms`; `idle_timeout_ms` is the machines' idle timeout.
+    pub fn new(
+        dial_timeout_ms: Millis,
+        idle_timeout_ms: Millis,
+        max_outstanding: usize,
+        max_connections: usize,
+    ) -> Self {
+        Self::with_address_settings(
+            dial_timeout_ms,
+            idle_timeout_ms,
+            max_outstanding,
+            max_connections,
+            None,
+            0,
+        )
     }
 
     /// Creates an empty pool for machines with several addresses; `seed` determines the jitter of pauses.
     pub fn with_address_settings(
-        dial_ms: Millis,
-        idle_ms: Millis,
-        streams: usize,
+        dial_timeout_ms: Millis,
+        idle_timeout_ms: Millis,
+        max_outstanding: usize,
         max_connections: usize,
         settings: Option<AddressSettings>,
         seed: u64,
@@ -166,9 +183,9 @@
             by_attempt: HashMap::new(),
             last_key: 0,
             next_probe: 0,
-            dial_ms,
-            idle_ms,
-            max_streams: streams.max(1),
+            dial_timeout_ms,
+            idle_timeout_ms,
+            max_outstanding: max_outstanding.max(1),
             max_connections,
         }
     }
@@ -243,6 +260,8 @@
         self.queue(now, Purpose::Probe, machine, frame, true)
     }
 
+    /// Queues a frame on a connection to the machine, or on a new one. `may_reuse`: established connections
+    /// may be used, not only those that are being dialed.
     fn queue(
         &mut self,
         now: Millis,
@@ -258,14 +277,15 @@
             (count, dialing) = (count + 1, dialing + usize::from(connection.connected_at.is_none()));
         }
         let reusable = |connection: &Connection| may_reuse || connection.connected_at.is_none();
-        // An attempt that must not be repeated does not test an endpoint.
+        // A connection on trial tests whether an endpoint works again after its pause. An attempt that must
+        // not be repeated is not sent on one.
         let suitable = |connection: &Connection| {
             reusable(connection) && !(frame.exclusive && connection.trial.is_some())
         };
         let usable = own().filter(|(_, connection)| {
-            suitable(connection) && connection.accepts(now, &self.addresses, &id, self.max_streams)
+            suitable(connection) && connection.accepts(now, &self.addresses, &id, self.max_outstanding)
         });
-        // A connection under test goes first. Then a connected one goes before one that is being dialed, a
+        // A connection on trial goes first. Then a connected one goes before one that is being dialed, a
         // preferred endpoint before others, so that those become idle once it is back, and a less loaded one
         // before others. Crowded connections come last; otherwise each further attempt would dial another
         // one.
@@ -284,13 +304,14 @@
         });
         let best = best.map(|(key, connection)| (*key, crowded(connection)));
         // Additional connections leave room for the first ones to new machines; at the limit, an idle
-        // connection makes room. Nor are more dialed at once than dials are allowed.
+        // connection makes room. One is added only while no connection to the machine is being
+        // dialed, or fewer than `max_races`.
         let may_open_another = count < MAX_CONNECTIONS_PER_MACHINE
             && (self.connections.len() as f64) < EXTRA_CONNECTIONS_SHARE * self.max_connections as f64
             && (dialing == 0 || dialing < self.addresses.max_races(now, machine));
         let (key, new) = match best {
             Some((key, crowded)) if !(crowded && may_open_another) => (key, false),
-            None if self.connections.len() >= self.max_connections && !self.expire_idle_connection(now) => {
+            None if self.connections.len() >= self.max_connections && !self.retire_longest_idle(now) => {
                 return Err(SendError::NoRoom)
             }
             _ => {
@@ -313,8 +334,9 @@
         Ok((key, new))
     }
 
-    /// Marks the longest idle connection to be closed; returns false if none is idle.
-    fn expire_idle_connection(&mut self, now: Millis) -> bool {
+    /// Retires the connection that has been idle longest, so that it is closed; returns false if none is
+    /// idle.
+    fn retire_longest_idle(&mut self, now: Millis) -> bool {
         let idle = |connection: &&mut Connection| {
             connection.connected_at.is_some()
                 && connection.outstanding.is_empty()
@@ -329,7 +351,7 @@
             .is_some()
     }
 
-    /// Gives an attempt up: removes it from the queue if no byte of it was written, or sends STOP to the
+    /// Stops an attempt: removes it from the queue if no byte of it was written, or sends STOP to the
     /// machine. Returns the connection that has something to write.
     pub fn stop(&mut self, now: Millis, attempt: AttemptKey) -> Option<ConnectionKey> {
         let (key, id) = self.by_attempt.remove(&attempt)?;
@@ -351,12 +373,12 @@
         Some(key)
     }
 
-    /// Whether a connection is up.
+    /// Whether a connection is established.
     pub fn is_connected(&self, key: ConnectionKey) -> bool {
         self.connections.get(&key).is_some_and(|connection| connection.connected_at.is_some())
     }
 
-    /// Whether no byte on the connection awaits an answer, so that the machine may have closed it unnoticed.
+    /// Whether no unanswered request of the connection has been written, even in part.
     pub fn nothing_in_flight(&self, key: ConnectionKey) -> bool {
         let sent = |connection: &Connection| {
             connection.written > 0
@@ -488,9 +510,10 @@
         (events, error)
     }
 
-    /// Handles a connection that has closed or never came up. If it was up, frames that were not written move
-    /// to other connections: nothing is known against the machine. `failure` is the failure that the close
-    /// shows of its endpoint.
+    /// Handles a connection that has closed or was never established. If it was established, frames of which
+    /// no byte was written move to other connections, each at most [`MAX_MOVES`] times, since the close of
+    /// one connection does not show that the machine has failed. `failure`: how the endpoint failed, if the
+    /// close shows that it did.
     pub fn connection_closed(
         &mut self,
         now: Millis,
@@ -526,11 +549,12 @@
                 ));
             }
         }
-        if let Some(tested) = &connection.trial {
-            self.addresses.end_trial(now, &connection.machine, tested);
+        if let Some(endpoint) = &connection.trial {
+            self.addresses.end_trial(now, &connection.machine, endpoint);
         }
-        // Other connections over the same endpoint may be dead as well.
-        let other_endpoint = connection
+        // While the endpoint still accepts requests, other connections over it may be dead as well: then
+        // frames move only to connections that are not yet established.
+        let may_reuse = connection
             .endpoint
             .as_ref()
             .is_some_and(|endpoint| !self.addresses.accepts_requests(now, &connection.machine, endpoint));
@@ -544,8 +568,7 @@
                     frame.and_then(|at| connection.output.remove(at)).filter(|frame| frame.moves < MAX_MOVES);
                 if let Some(mut frame) = frame {
                     frame.moves += 1;
-                    if let Ok((to, _)) = self.queue(now, purpose, &connection.machine, frame, other_endpoint)
-                    {
+                    if let Ok((to, _)) = self.queue(now, purpose, &connection.machine, frame, may_reuse) {
                         closed.moved.insert(to);
                         continue;
                     }
@@ -608,7 +631,7 @@
     pub fn expired(&self, now: Millis) -> Vec<(ConnectionKey, EndpointClose)> {
         let close_reason = |connection: &Connection| {
             let empty = connection.outstanding.is_empty() && connection.output.is_empty();
-            let expired = connection.deadline(self.idle_ms).is_some_and(|at| at <= now);
+            let expired = connection.deadline(self.idle_timeout_ms).is_some_and(|at| at <= now);
             match connection.connected_at {
                 None if connection.retired && empty => Some(EndpointClose::NotNeeded),
                 None => connection.race.as_ref().filter(|race| race.is_over(now)).map(|race| {
@@ -639,7 +662,7 @@
         let connections = self
             .connections
             .values()
-            .filter_map(|connection| connection.deadline(self.idle_ms))
+            .filter_map(|connection| connection.deadline(self.idle_timeout_ms))
             .reduce(f64::min);
         let settings = self.addresses.settings();
         let silent = || {
--- a/src/runtime/machines.rs
+++ b/src/runtime/machines.rs
@@ -1,4 +1,4 @@
-//! Sockets to machines: dialling, reading and writing. [`back`] assigns attempts to connections, and
+//! Sockets to machines: dialing, reading and writing. [`back`] assigns attempts to connections, and
 //! [`crate::addresses`] chooses the endpoints.
 
 use super::socket::{classify_dial_error, dial, IoStatus};
@@ -12,7 +12,7 @@
 use std::io;
 use std::rc::Rc;
 
-/// Bytes read from one machine before other sockets are served.
+/// Once it has read more bytes than this, a connection yields to other sockets.
 const MAX_READ_BYTES: usize = 512 * 1024;
 
 impl Runtime {
@@ -34,8 +34,8 @@
         }
     }
 
-    /// Schedules writing to a machine, dialling it if necessary. The write happens after all events of the
-    /// current wake-up are handled, as the client or the machine may have left.
+    /// Schedules a write on a connection. It happens after all events of the current wake-up are handled, as
+    /// one of them may cancel what is queued: the client or the machine may have gone.
     pub(super) fn schedule_write(&mut self, key: ConnectionKey) {
         self.runnable.insert(Source::Link(key));
     }
@@ -54,34 +54,35 @@
     fn apply_dial_actions(&mut self, actions: Vec<DialAction>) {
         for action in actions {
             match action {
-                DialAction::Start(key, number, endpoint) => self.start_dial(key, number, &endpoint),
-                DialAction::Close(number) => self.close_dial(number),
-                DialAction::Paused(left) => log_avoided_endpoint(&left),
+                DialAction::Start(key, dial_key, endpoint) => self.start_dial(key, dial_key, &endpoint),
+                DialAction::Close(dial_key) => self.close_dial(dial_key),
+                DialAction::Paused(pause) => log_endpoint_pause(&pause),
             }
         }
     }
 
-    fn start_dial(&mut self, key: ConnectionKey, number: DialKey, endpoint: &Endpoint) {
+    fn start_dial(&mut self, key: ConnectionKey, dial_key: DialKey, endpoint: &Endpoint) {
         self.reducer.counters.dials += 1;
         match dial(endpoint) {
             Ok(stream) => {
-                let socket = self.register_socket(Rc::new(stream), Source::Dial(number), false);
-                self.dials.insert(number, (key, endpoint.clone(), socket));
+                let socket = self.register_socket(Rc::new(stream), Source::Dial(dial_key), false);
+                self.dials.insert(dial_key, (key, endpoint.clone(), socket));
             }
-            Err(e) => self.dial_failed(key, number, endpoint, &e),
+            Err(e) => self.dial_failed(key, dial_key, endpoint, &e),
         }
     }
 
     /// Closes the socket of a dial.
-    pub(super) fn close_dial(&mut self, number: DialKey) {
-        if let Some((.., socket)) = self.dials.remove(&number) {
+    pub(super) fn close_dial(&mut self, dial_key: DialKey) {
+        if let Some((.., socket)) = self.dials.remove(&dial_key) {
             self.close_socket(&socket);
         }
     }
 
-    /// Handles a failed dial: the race continues with other endpoints, or the connection fails.
-    fn dial_failed(&mut self, key: ConnectionKey, number: DialKey, endpoint: &Endpoint, error: &io::Error) {
-        self.close_dial(number);
+    /// Handles a failed dial. [`Runtime::run_dials`] continues the race with other endpoints; if none is
+    /// left, a connection timer closes the connection.
+    fn dial_failed(&mut self, key: ConnectionKey, dial_key: DialKey, endpoint: &Endpoint, error: &io::Error) {
+        self.close_dial(dial_key);
         self.reducer.counters.dials_failed += 1;
         let machine = self.connections.machine(key).map(CacheId::to_string).unwrap_or_default();
         let end = classify_dial_error(endpoint, error);
@@ -90,14 +91,14 @@
             DialError::Unreachable | DialError::NoRoom => error.to_string(),
         };
         log_line!({ machine, address = %endpoint, outcome = why } "no connection to {endpoint}: {why}");
-        if let Some(left) = self.connections.dial_failed(self.now(), key, number, end) {
-            log_avoided_endpoint(&left);
+        if let Some(pause) = self.connections.dial_failed(self.now(), key, dial_key, end) {
+            log_endpoint_pause(&pause);
         }
     }
 
-    /// Checks a dial that is ready: it is connected or has failed.
-    pub(super) fn serve_dial(&mut self, number: DialKey) {
-        let Some((key, endpoint, socket)) = self.dials.get(&number) else { return };
+    /// Handles a dial whose socket is reported ready: it may be connected, have failed, or still be pending.
+    pub(super) fn serve_dial(&mut self, dial_key: DialKey) {
+        let Some((key, endpoint, socket)) = self.dials.get(&dial_key) else { return };
         let (key, endpoint) = (*key, endpoint.clone());
         if !socket.writable {
             return;
@@ -106,22 +107,22 @@
             Ok(None) => match socket.stream.peer_addr() {
                 Ok(_) => {}
                 Err(e) if e.kind() == io::ErrorKind::NotConnected => return,
-                Err(_) => return self.defer_for_shortage(Source::Dial(number)),
+                Err(_) => return self.defer_for_shortage(Source::Dial(dial_key)),
             },
             Ok(Some(e)) => {
-                self.dial_failed(key, number, &endpoint, &e);
+                self.dial_failed(key, dial_key, &endpoint, &e);
                 return self.run_dials();
             }
             // A failure to read the socket's error says nothing about the connection.
-            Err(_) => return self.defer_for_shortage(Source::Dial(number)),
+            Err(_) => return self.defer_for_shortage(Source::Dial(dial_key)),
         }
         let now = self.now();
-        let Some(actions) = self.connections.dial_connected(now, key, number) else {
-            return self.close_dial(number);
+        let Some(actions) = self.connections.dial_connected(now, key, dial_key) else {
+            return self.close_dial(dial_key);
         };
-        if let Some((.., dialled)) = self.dials.remove(&number) {
-            self.close_socket(&dialled);
-            let socket = self.register_socket(dialled.stream, Source::Link(key), true);
+        if let Some((.., dialed)) = self.dials.remove(&dial_key) {
+            self.close_socket(&dialed);
+            let socket = self.register_socket(dialed.stream, Source::Link(key), true);
             self.connection_sockets.insert(key, socket);
             self.runnable.insert(Source::Link(key));
         }
@@ -129,12 +130,12 @@
         self.run_dials();
     }
 
-    /// Runs connection timers: continues races, leaves endpoints that do not respond, and closes expired
+    /// Runs connection timers: continues races, pauses endpoints that do not respond, and closes expired
     /// connections.
     pub(super) fn run_connection_timers(&mut self) {
         let now = self.now();
-        let (left, moved) = self.connections.check_unresponsive(now);
-        left.iter().for_each(log_avoided_endpoint);
+        let (paused, moved) = self.connections.check_unresponsive(now);
+        paused.iter().for_each(log_endpoint_pause);
         moved.into_iter().for_each(|key| self.schedule_write(key));
         self.run_dials();
         for (key, why) in self.connections.expired(now) {
@@ -179,7 +180,7 @@
                 }
             };
             read += bytes;
-            let (events, fault) = self.connections.receive(now, key, &self.buffer[..bytes]);
+            let (events, error) = self.connections.receive(now, key, &self.buffer[..bytes]);
             for event in events {
                 let counters = &mut self.reducer.counters;
                 self.inbox.push(match event {
@@ -196,23 +197,23 @@
                     }
                     back::EndpointEvent::Unknown => {
                         counters.answers_unknown += 1;
-                        log_line!("answer from a machine with an unknown id");
+                        log_line!("answer with an unknown request id on connection {key}");
                         continue;
                     }
                 });
             }
-            if let Some(fault) = fault {
-                if fault == back::WRONG_NAME {
+            if let Some(error) = error {
+                if error == back::WRONG_NAME {
                     return Some(EndpointClose::WrongName);
                 }
                 self.reducer.counters.endpoint_faults += 1;
-                log_line!("malformed answer from a machine: {}", fault.0);
+                log_line!("malformed answer on connection {key}: {}", error.0);
                 return Some(EndpointClose::Unreadable);
             }
         }
     }
 
-    /// Writes queued attempts to a machine. Returns the reason to close the connection, if there is one.
+    /// Writes queued frames to a machine. Returns the reason to close the connection, if there is one.
     pub(super) fn write_connection(&mut self, key: ConnectionKey) -> Option<EndpointClose> {
         loop {
             if !self.connection_sockets.get(&key)?.writable {
@@ -243,7 +244,7 @@
     }
 
     /// Asks the reducer for permission immediately before the first byte of an attempt is written. Without
-    /// permission, the attempt is withdrawn and reported as ended.
+    /// permission, the attempt is withheld and reported as ended.
     fn admit_attempt(&mut self, key: ConnectionKey, attempt: AttemptKey) -> bool {
         match self.reducer.permit(self.now(), attempt) {
             Ok(permit) => {
@@ -265,12 +266,14 @@
         }
     }
 
-    /// Closes a connection to a machine, and reports the end of its attempts and probes.
+    /// Closes a connection to a machine, and reports the end of those attempts and probes that do
+    /// not move to another connection.
     pub(super) fn close_connection(&mut self, key: ConnectionKey, why: EndpointClose) {
         let now = self.now();
         if let Some(socket) = self.connection_sockets.remove(&key) {
             match why {
-                // The peer is healthy and may be sending already; closing at once would reset the connection.
+                // The connection carries no request, but the machine may send something until it notices the
+                // close; closing the socket at once would reset the connection.
                 EndpointClose::Idle => self.linger(Source::Link(key), socket),
                 EndpointClose::PeerClosed
                 | EndpointClose::Broken
@@ -308,13 +311,14 @@
             | EndpointClose::Restarted
             | EndpointClose::Panic => None,
         };
-        // Closing an idle connection is normal and not a failure of the endpoint.
-        let idle_close = self.connections.nothing_in_flight(key) && why == EndpointClose::PeerClosed;
-        let ended = self.connections.connection_closed(now, key, failure.filter(|_| !idle_close));
+        // That a machine closes a connection with no request in flight is not a failure of the endpoint.
+        let normal_close = self.connections.nothing_in_flight(key) && why == EndpointClose::PeerClosed;
+        let ended = self.connections.connection_closed(now, key, failure.filter(|_| !normal_close));
         let (reason, lost) = (why.key(), ended.lost.len());
+        // The event's fields `link` and `endpoint` hold the connection's key and the machine's id.
         trace_event!(now, "endpoint_closed", link = key, endpoint = machine, reason, lost);
-        ended.dials.iter().for_each(|number| self.close_dial(*number));
-        ended.paused.iter().for_each(log_avoided_endpoint);
+        ended.dials.iter().for_each(|dial_key| self.close_dial(*dial_key));
+        ended.paused.iter().for_each(log_endpoint_pause);
         if let Some(endpoint) = endpoint.filter(|_| !ended.lost.is_empty()) {
             let attempts = ended.lost.len();
             log_line!({ machine, address = %endpoint, attempts, outcome = %why }
@@ -330,8 +334,8 @@
     }
 }
 
-fn log_avoided_endpoint(avoided: &EndpointPause) {
-    let EndpointPause { machine, endpoint, why, pause_ms } = avoided;
+fn log_endpoint_pause(pause: &EndpointPause) {
+    let EndpointPause { machine, endpoint, why, pause_ms } = pause;
     log_line!({ machine = %machine, address = %endpoint, outcome = %why }
         "not using {endpoint} for {machine} for {pause_ms:.0} ms: {why}");
 }
