--- a/crates/frostturn-plugin-kit/src/lib.rs
+++ b/crates/frostturn-plugin-kit/src/lib.rs
@@ -1,8 +1,10 @@
-//! What frostturn and its plug-ins say to each other: views go in, advice comes out. Version 1.
+//! The binary interface between frostturn and its plug-ins, version 1: views are passed to a plug-in, which
+//! returns advice.
 //!
-//! All figures are little-endian. A view has a head, whose length it gives, and then machines, whose number and
-//! length it gives as well: a reader takes what it knows and skips what a newer writer has added. Advice is a
-//! row of records of a kind, a length and a content; unknown kinds are skipped.
+//! All numbers are little-endian. A view consists of a head, which contains its own length, and machines,
+//! whose number and length the head contains as well: a reader uses the fields it knows and skips those that
+//! a newer version has added. Advice is a sequence of records, each with a kind, a length and a content;
+//! unknown kinds are skipped.
 //!
 //! ```
 //! use frostturn_plugin_kit::{advice, Advice, Machine, View, ViewHead};
@@ -24,85 +26,85 @@
 extern crate alloc;
 use alloc::vec::Vec;
 
-/// The version of this layout. A plug-in exports it as the global `frostturn_version`.
+/// The version of this interface. A plug-in exports it as the global `frostturn_version`.
 pub const VERSION: u16 = 1;
-/// How a view begins.
+/// The first four bytes of a view.
 pub const MAGIC: u32 = u32::from_le_bytes(*b"FTV1");
-/// Bytes of this version's head, and of a machine.
+/// The length of this version's head in bytes.
 pub const HEAD: usize = 64;
-/// Bytes of a machine.
+/// The length of a machine in bytes.
 pub const MACHINE: usize = 32;
-/// Machines in one view, at most.
+/// The maximum number of machines in a view.
 pub const MAX_MACHINES: usize = 120;
-/// Room that a plug-in keeps for a view, at its exported global `view`.
+/// The size of the buffer for views in bytes, at the offset that the plug-in exports as the global `view`.
 pub const VIEW_ROOM: usize = 4096;
-/// Bytes of one advice, at most.
+/// The maximum length of the advice of a call in bytes.
 pub const MAX_ADVICE: usize = 1024;
 
-/// A request is marked by its client as a repeat.
+/// Flag of a view: the client marked the request as a repeat.
 pub const REPEAT: u8 = 1;
-/// A request names an object.
+/// Flag of a view: the request names an object.
 pub const OBJECT: u8 = 2;
-/// Once it may have run, a request is never sent again.
+/// Flag of a view: the request is never sent again once it may have been executed.
 pub const FRAGILE: u8 = 4;
-/// A machine stands in the router's own location.
+/// Flag of a machine: it is in the router's own location.
 pub const NEAR: u16 = 1;
-/// No machine is meant.
+/// The value of [`ViewHead::machine`] that means no machine.
 pub const NONE: u16 = u16::MAX;
 
-/// What a view is of, beside the machines.
+/// The head of a view: all data but the machines.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ViewHead {
-    /// [`REPEAT`], [`OBJECT`], [`FRAGILE`].
+    /// A combination of [`REPEAT`], [`OBJECT`] and [`FRAGILE`].
     pub flags: u8,
-    /// The class, a place in the site's settings.
+    /// The index of the request's class in the site's settings.
     pub class: u16,
-    /// The object, its 16 hex digits as a number; 0 without [`OBJECT`].
+    /// The object, as the number of its 16 hex digits; 0 without [`OBJECT`].
     pub object: u64,
-    /// The part of it.
+    /// The piece of the object.
     pub piece: u64,
-    /// Its group.
+    /// The purge group of the object.
     pub group: u32,
-    /// Its size in KB; 0: not told.
+    /// The size of the object in KB; 0 if it is not known.
     pub size_kb: f32,
-    /// Time left before the client gives up, in milliseconds.
+    /// The time left until the request's deadline, in milliseconds.
     pub time_left_ms: u32,
-    /// Attempts made before.
+    /// The number of earlier attempts.
     pub attempt: u16,
-    /// In `outcome`: 0 served, 1 missed, 2 turned away, 3 error, 4 out of time, 5 not connected, 6 broken,
-    /// 7 called off, 8 never ran.
+    /// In `outcome`: 0 ok, 1 miss, 2 full, 3 error, 4 timeout, 5 connect failed, 6 reset, 7 cancelled, 8 not
+    /// sent.
     pub outcome: u16,
-    /// In `outcome`: the place of the machine, or [`NONE`] if it is no longer listed.
+    /// In `outcome`: the index of the machine, or [`NONE`] if the machine is no longer listed.
     pub machine: u16,
-    /// In `outcome`: 0 no note, 1 it was held, 2 it was filled.
+    /// In `outcome`: 0 no cache status, 1 the object was cached, 2 it was filled.
     pub note: u16,
-    /// In `outcome`: from sending to the end, in milliseconds.
+    /// In `outcome`: the duration of the attempt, in milliseconds.
     pub waited_ms: f32,
     /// The router's clock, in milliseconds since its start.
     pub now_ms: u64,
 }
 
-/// One machine of a view.
+/// A machine of a view.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Machine {
-    /// Its name: the hex digits behind the last `-` as a number, else a hash of it.
+    /// The machine's name as a number, see [`name_number`].
     pub name: u64,
-    /// Its last reported load, 0 to 1.
+    /// The last reported load, 0 to 1.
     pub load: Option<f32>,
     /// The age of that report in milliseconds.
     pub age_ms: Option<f32>,
-    /// The part of its capacity that it has at least: under 1 while it is cold.
+    /// The minimum share of its capacity that the machine has: below 1 during its cold start.
     pub warm: f32,
-    /// Attempts of this router that are out there.
+    /// This router's attempts in flight at the machine.
     pub in_flight: u32,
-    /// Its registered size.
+    /// The registered size.
     pub size: f32,
-    /// [`NEAR`].
+    /// [`NEAR`], or 0.
     pub flags: u16,
 }
 
 impl ViewHead {
-    /// Appends a view of this and at most [`MAX_MACHINES`] machines.
+    /// Appends a view with this head and at most [`MAX_MACHINES`] machines.
     pub fn write(&self, machines: &[Machine], out: &mut Vec<u8>) {
         let machines = &machines[..machines.len().min(MAX_MACHINES)];
         let start = out.len();
@@ -138,29 +140,36 @@
     }
 }
 
-/// A view's bytes, checked.
+/// A decoded view.
 #[derive(Clone, Copy, Debug)]
 pub struct View<'a> {
     bytes: &'a [u8],
-    head: usize,
-    count: usize,
-    each: usize,
+    head_length: usize,
+    machine_count: usize,
+    machine_length: usize,
 }
 
+/// Returns `N` bytes at an offset, or zeros if there are fewer.
 fn take<const N: usize>(bytes: &[u8], at: usize) -> [u8; N] {
     bytes.get(at..at + N).and_then(|part| part.try_into().ok()).unwrap_or([0; N])
 }
 
 impl<'a> View<'a> {
-    /// Reads a view of this or a newer version; `None`: it is none.
+    /// Decodes a view of this or a newer version; `None` if the bytes are no valid view.
     pub fn read(bytes: &'a [u8]) -> Option<Self> {
         let word = |at| usize::from(u16::from_le_bytes(take(bytes, at)));
-        let (head, count, each) = (word(6), word(8), word(10));
-        let good = u32::from_le_bytes(take(bytes, 0)) == MAGIC && head >= HEAD && each >= MACHINE;
-        (good && bytes.len() >= head + count * each).then_some(Self { bytes, head, count, each })
+        let (head_length, machine_count, machine_length) = (word(6), word(8), word(10));
+        let valid =
+            u32::from_le_bytes(take(bytes, 0)) == MAGIC && head_length >= HEAD && machine_length >= MACHINE;
+        (valid && bytes.len() >= head_length + machine_count * machine_length).then_some(Self {
+            bytes,
+            head_length,
+            machine_count,
+            machine_length,
+        })
     }
 
-    /// What it is of.
+    /// Returns the head.
     pub fn head(&self) -> ViewHead {
         let bytes = self.bytes;
         let word = |at| u16::from_le_bytes(take(bytes, at));
@@ -182,17 +191,17 @@
         }
     }
 
-    /// How many machines it has.
+    /// Returns the number of machines.
     pub fn machines(&self) -> usize {
-        self.count
+        self.machine_count
     }
 
-    /// One of them.
+    /// Returns the machine at an index.
     pub fn machine(&self, at: usize) -> Option<Machine> {
-        if at >= self.count {
+        if at >= self.machine_count {
             return None;
         }
-        let bytes = self.bytes.get(self.head + at * self.each..)?;
+        let bytes = self.bytes.get(self.head_length + at * self.machine_length..)?;
         let figure = |at| f32::from_le_bytes(take(bytes, at));
         let known = |figure: f32| (!figure.is_nan()).then_some(figure);
         Some(Machine {
@@ -207,30 +216,30 @@
     }
 }
 
-/// One piece of advice. The router narrows it to what the rules allow, and then still decides.
+/// A record of advice. The router restricts it to what the rules allow, and still makes the decision.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Advice<'a> {
-    /// Favour (above 0) or avoid (below 0) the machine at a place of the view, by -100 to 100.
+    /// Favour (above 0) or avoid (below 0) the machine at an index of the view.
     Favour {
-        /// Its place.
+        /// The index of the machine.
         machine: u16,
-        /// How strongly.
+        /// The strength, -100 to 100.
         strength: i16,
     },
-    /// The rank at which a copy is kept, 0 to 3.
+    /// The retention rank of the copy in the cache, 0 to 3.
     Keep(u8),
-    /// The oldest copy that will do, in milliseconds.
+    /// The maximum age of an acceptable copy, in milliseconds.
     Oldest(u32),
-    /// Attempts at most.
+    /// The maximum number of attempts.
     Attempts(u16),
-    /// Refuse it, and have the client come back after so many milliseconds.
+    /// Refuse the request; the client may retry after this number of milliseconds.
     Refuse(u32),
-    /// Count it under this name.
+    /// Count the request under this label.
     Label(&'a str),
 }
 
 impl Advice<'_> {
-    /// Appends its record.
+    /// Appends the encoded record.
     pub fn write(&self, out: &mut Vec<u8>) {
         let mut record = |kind: u16, parts: &[&[u8]]| {
             let length: usize = parts.iter().map(|part| part.len()).sum();
@@ -251,27 +260,27 @@
     }
 }
 
-/// Advice that can't be read: a record is cut short, or its content has another length.
+/// Malformed advice: a record is truncated, or its content has the wrong length.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Malformed;
 
-/// Reads records one by one; after one that can't be read nothing follows.
+/// Decodes the records of advice. A malformed record is the last item.
 pub fn advice(bytes: &[u8]) -> impl Iterator<Item = Result<Advice<'_>, Malformed>> {
-    let mut rest = bytes;
+    let mut remaining = bytes;
     core::iter::from_fn(move || loop {
-        if rest.is_empty() {
+        if remaining.is_empty() {
             return None;
         }
-        let whole = rest.split_at_checked(4).and_then(|(head, after)| {
+        let record = remaining.split_at_checked(4).and_then(|(head, after)| {
             let length = usize::from(u16::from_le_bytes(take(head, 2)));
             let (content, after) = after.split_at_checked(length)?;
             Some((u16::from_le_bytes(take(head, 0)), content, after))
         });
-        let Some((kind, content, after)) = whole else {
-            rest = &[];
+        let Some((kind, content, after)) = record else {
+            remaining = &[];
             return Some(Err(Malformed));
         };
-        rest = after;
+        remaining = after;
         let sized = |length| if content.len() == length { Ok(()) } else { Err(Malformed) };
         let one = match kind {
             1 => sized(4).map(|()| Advice::Favour {
@@ -286,13 +295,13 @@
             _ => continue,
         };
         if one.is_err() {
-            rest = &[];
+            remaining = &[];
         }
         return Some(one);
     })
 }
 
-/// A machine's name as a number: the hex digits behind its last `-`, else a hash (FNV-1a, 64 bits) of it.
+/// Returns a name as a number: the hex digits after its last `-`, or else its 64-bit FNV-1a hash.
 pub fn name_number(name: &str) -> u64 {
     let digits = name.rsplit('-').next().unwrap_or_default();
     let hex = if digits.len() <= 16 { u64::from_str_radix(digits, 16).ok() } else { None };
--- a/crates/frostturn-plugin-kit/src/tests.rs
+++ b/crates/frostturn-plugin-kit/src/tests.rs
@@ -3,20 +3,20 @@
 use quickcheck::{Gen, QuickCheck};
 
 #[test]
-fn a_newer_view_is_read_by_what_is_known() {
+fn views_of_newer_versions_are_decoded() {
     let mut bytes = Vec::new();
     ViewHead { class: 3, now_ms: 9, ..ViewHead::default() }.write(&[Machine::default()], &mut bytes);
-    // A newer writer's head is 8 bytes longer, and so are its machines.
+    // The head and the machines of a newer version are 8 bytes longer.
     let (head, machine) = bytes.split_at(HEAD);
     let mut newer = [head, &[7; 8], machine, &[7; 8]].concat();
     newer[6] += 8;
     newer[10] += 8;
-    let view = View::read(&newer).expect("it is one");
+    let view = View::read(&newer).expect("a valid view");
     assert_eq!((view.head().class, view.machine(0).is_some(), view.machine(1)), (3, true, None));
 }
 
 #[test]
-fn unknown_advice_is_skipped_and_cut_advice_ends_it() {
+fn unknown_records_are_skipped_and_a_truncated_record_ends_the_advice() {
     let mut out = vec![9, 0, 2, 0, 1, 1];
     Advice::Keep(2).write(&mut out);
     out.extend([5, 0, 200, 0, 1]);
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn no_bytes_make_a_reader_panic() {
+fn decoding_never_panics() {
     fn property(bytes: Vec<u8>) -> bool {
         if let Some(view) = View::read(&bytes) {
             let _ = view.head();
--- a/examples/plugins/photos.wat
+++ b/examples/plugins/photos.wat
@@ -1,17 +1,17 @@
-;; Favours the box that holds the staff photos, as learned from outcomes.
+;; Favours the cache that holds a staff photo, as learned from outcomes.
 ;;
-;; A table of 1,024 places by object keeps the name of the box that last served the object.
-;; Setting: `group N`, the group of the photos; other groups get no advice.
+;; A hash table with 1,024 entries, indexed by object, stores the name of the cache that last served the object.
+;; Setting: `group N`, the purge group of the photos; requests of other groups get no advice.
 (module
   (memory (export "memory") 1)
   (global (export "frostturn_version") i32 (i32.const 1))
   (global (export "view") i32 (i32.const 16384))
   (global $group (mut i32) (i32.const -1))
-  ;; Places of 16 bytes from 20480 on: object, box. The advice is built at 0.
+  ;; The table starts at 20480, with entries of 16 bytes: object, cache. The advice is built at 0.
 
   (func (export "init") (param $len i32) (result i32)
     (local $at i32) (local $byte i32) (local $value i32)
-    ;; The digits of the first line whose name begins with `g`.
+    ;; Parses the digits of the first line, whose name must begin with `g`.
     (if (i32.or (i32.lt_u (local.get $len) (i32.const 7)) (i32.ne (i32.load8_u (i32.const 16384)) (i32.const 103)))
       (then (return (i32.const 1))))
     (local.set $at (i32.const 6))
@@ -50,7 +50,7 @@
         (br $next)))
     (i64.const 0))
 
-  ;; Served (0), from what it held or by a fill: it has the object now.
+  ;; After the outcome ok (0), from the cache or by a fill, the cache has the object.
   (func (export "outcome") (param $len i32)
     (local $place i32)
     (if (i32.ne (i32.load (i32.const 16416)) (global.get $group)) (then (return)))
--- a/examples/plugins/refuse_early.wat
+++ b/examples/plugins/refuse_early.wat
@@ -1,12 +1,12 @@
-;; Refuses one class early when a branch is full: where every box's load is known and over nine tenths, it has the
-;; client come back in half a second. The operator's file must allow it, `(may-refuse "training-video")`.
+;; Refuses one class early when all caches of the location are full: if every load is known and above 0.9, the client
+;; is told to retry after 500 ms. The operator's file must allow this with `(may-refuse "training-video")`.
 ;; Setting: `class N`, one digit.
 (module
   (memory (export "memory") 1)
   (global (export "frostturn_version") i32 (i32.const 1))
   (global (export "view") i32 (i32.const 16384))
   (global $class (mut i32) (i32.const -1))
-  ;; Refuse for 500 ms, and count it under `full`.
+  ;; The advice: refuse with a retry after 500 ms, and count the request under `full`.
   (data (i32.const 0) "\05\00\04\00\f4\01\00\00\06\00\04\00full")
 
   (func (export "init") (param $len i32) (result i32)
--- a/examples/plugins/small_boxes.wat
+++ b/examples/plugins/small_boxes.wat
@@ -1,5 +1,5 @@
-;; Keeps one class off small boxes in a busy hour: where the mean load is over a half, boxes whose size is under the
-;; mean are avoided. Setting: `class N`, one digit, the class's place in the site's settings.
+;; Keeps one class away from small caches under load: if the mean load is above 0.5, caches below the mean size are
+;; avoided. Setting: `class N`, one digit, the index of the class in the site's settings.
 (module
   (memory (export "memory") 1)
   (global (export "frostturn_version") i32 (i32.const 1))
@@ -22,7 +22,7 @@
     (local.set $one (i32.add (i32.const 16384) (i32.load16_u (i32.const 16390))))
     (local.set $at (local.get $count))
     (loop $sum
-      ;; A load that isn't known is NaN, which is unequal to itself.
+      ;; An unknown load is NaN, which is not equal to itself.
       (if (f32.eq (f32.load offset=8 (local.get $one)) (f32.load offset=8 (local.get $one))) (then
         (local.set $load (f32.add (local.get $load) (f32.load offset=8 (local.get $one))))
         (local.set $seen (f32.add (local.get $seen) (f32.const 1)))))
@@ -30,7 +30,7 @@
       (local.set $one (i32.add (local.get $one) (local.get $each)))
       (local.set $at (i32.sub (local.get $at) (i32.const 1)))
       (br_if $sum (local.get $at)))
-    ;; Not busy, or nothing is known.
+    ;; No advice if the load is low or unknown.
     (if (i32.eqz (f32.gt (local.get $load) (f32.mul (local.get $seen) (f32.const 0.5)))) (then (return (i64.const 0))))
     (local.set $size (f32.div (local.get $size) (f32.convert_i32_u (local.get $count))))
     (local.set $one (i32.add (i32.const 16384) (i32.load16_u (i32.const 16390))))
--- a/src/operator/addresses.rs
+++ b/src/operator/addresses.rs
@@ -42,7 +42,9 @@
                     Some(count) if count > MAX_DIALS => {
                         reader.fault(
                             one.at,
-                            format!("violates the limit for cold machines: at most {MAX_DIALS} concurrent handshakes"),
+                            format!(
+                                "violates the limit for cold machines: at most {MAX_DIALS} concurrent handshakes"
+                            ),
                         );
                     }
                     count => settings.max_dials_per_machine = count.unwrap_or(settings.max_dials_per_machine),
@@ -63,7 +65,10 @@
         if let Some(endpoint) =
             endpoints.iter().find(|endpoint| !settings.family_order.contains(&endpoint.family()))
         {
-            reader.fault((1, 1), format!("{endpoint} of {name} has an address family that the order does not include"));
+            reader.fault(
+                (1, 1),
+                format!("{endpoint} of {name} has an address family that the order does not include"),
+            );
         }
     }
     settings
@@ -143,7 +148,8 @@
             Some(other) if other == name => reader.fault(node.at, "duplicate endpoint"),
             Some(other) => reader.fault(
                 node.at,
-                format!("violates the drain rule: {endpoint} also belongs to {other}, and requests for one would reach the other"),
+                format!("violates the drain rule: {endpoint} also belongs to {other}, and requests for one would \
+                     reach the other"),
             ),
         }
     }
--- a/src/operator/form.rs
+++ b/src/operator/form.rs
@@ -243,8 +243,9 @@
         let similarity = |known: &&&str| strsim::jaro_winkler(word, known);
         let nearest = known.iter().max_by(|a, b| similarity(a).total_cmp(&similarity(b)));
         let nearest = nearest.filter(|nearest| similarity(nearest) >= SUGGESTION_SIMILARITY);
-        let hint = nearest
-            .map_or(format!("known words: {}", known.join(", ")), |nearest| format!("did you mean {nearest}?"));
+        let hint = nearest.map_or(format!("known words: {}", known.join(", ")), |nearest| {
+            format!("did you mean {nearest}?")
+        });
         self.fault(at, format!("unknown word {word:?}; {hint}"));
         None
     }
--- a/src/operator/mod.rs
+++ b/src/operator/mod.rs
@@ -30,8 +30,7 @@
     pub addresses: Option<AddressSettings>,
     /// `(plugins …)`: programs of the operators that give advice, in the order of the file.
     pub plugins: Vec<Spec>,
-    /// `(ops (unix …))`: a Unix socket for operators' calls, in addition to the config's address if there is
-    /// one.
+    /// `(ops (unix …))`: a Unix socket for operators' calls, with or without an address in the config.
     pub ops_socket: Option<PathBuf>,
     /// `(fleet …)`: the other request routers, and the address on which this one receives their datagrams.
     pub fleet: Option<crate::fleet::Settings>,
--- a/src/ops/mod.rs
+++ b/src/ops/mod.rs
@@ -86,7 +86,7 @@
         valid.then(|| text.to_owned()).ok_or(Refusal(400, "a machine's name is wanted in the body"))
     };
     let path = head.path.unwrap_or_default();
-    let (wanted, call) = match path.split('?').next().unwrap_or_default() {
+    let (expected_method, call) = match path.split('?').next().unwrap_or_default() {
         "/api/ready" => ("GET", Ok(Call::Ready)),
         "/api/exclude" => ("POST", name().map(Call::Exclude)),
         "/api/include" => ("POST", name().map(Call::Include)),
@@ -96,7 +96,7 @@
         "/api/fleet" => ("GET", Ok(Call::Fleet)),
         _ => return Err(Refusal(404, "there is no such call")),
     };
-    if head.method != Some(wanted) {
+    if head.method != Some(expected_method) {
         return Err(Refusal(405, "another method is wanted"));
     }
     call.map(Some)
--- a/tests/operator.rs
+++ b/tests/operator.rs
@@ -33,7 +33,7 @@
 
 #[test]
 fn every_invalid_file_is_rejected_with_position_and_reason() {
-    for (text, wanted) in [
+    for (text, expected) in [
         ("", vec!["1:1: one form"]),
         ("(frostturn) (again)", vec!["1:13: one form"]),
         ("(frostturn (addresses)", vec!["1:22: invalid syntax: EOF"]),
@@ -112,9 +112,9 @@
         ),
     ] {
         let found = faults(text);
-        assert_eq!(found.len(), wanted.len(), "{text}: {found:?}");
-        for (found, wanted) in found.iter().zip(wanted) {
-            assert!(found.starts_with(wanted), "{text}: {found}");
+        assert_eq!(found.len(), expected.len(), "{text}: {found:?}");
+        for (found, expected) in found.iter().zip(expected) {
+            assert!(found.starts_with(expected), "{text}: {found}");
         }
     }
 }
--- a/tests/ops.rs
+++ b/tests/ops.rs
@@ -1,4 +1,5 @@
-//! Exclusions on the reducer: an operator's word against the board's, in two processes that share a file.
+//! Exclusions in the reducers of two processes that share a state file: an operator's exclusion overrides
+//! discovery.
 
 mod common;
 
@@ -26,52 +27,53 @@
     }
 }
 
-/// What befalls a call's saving.
+/// The outcome of saving a change.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Fate {
     Saved,
     CannotBeSaved,
-    /// The process dies when it has saved and not answered; another one starts in its place.
+    /// The process dies after saving and before answering; another one replaces it.
     Dies,
 }
 
 #[derive(Clone, Debug)]
 enum Step {
-    Board(usize, u8),
-    Whole,
+    Discovery(usize, u8),
+    Snapshot,
     Call(usize, bool, Fate),
-    Look,
-    Ask,
+    Reload,
+    Request,
     Wait(u8),
 }
 
-/// A step, and which of the two processes it is.
-type At = (bool, Step);
+/// A step, and whether it is of the second process.
+type ProcessStep = (bool, Step);
 
 impl Arbitrary for Step {
     fn arbitrary(g: &mut Gen) -> Self {
         let which = usize::arbitrary(g) % NAMES.len();
-        let fate = [Fate::Saved, Fate::Saved, Fate::Saved, Fate::CannotBeSaved, Fate::Dies];
+        let fates = [Fate::Saved, Fate::Saved, Fate::Saved, Fate::CannotBeSaved, Fate::Dies];
         match u8::arbitrary(g) % 14 {
-            0 | 1 => Self::Board(which, u8::arbitrary(g) % 3),
-            2 => Self::Whole,
-            3..=6 => Self::Call(which, bool::arbitrary(g), fate[usize::arbitrary(g) % fate.len()]),
+            0 | 1 => Self::Discovery(which, u8::arbitrary(g) % 3),
+            2 => Self::Snapshot,
+            3..=6 => Self::Call(which, bool::arbitrary(g), fates[usize::arbitrary(g) % fates.len()]),
             7 => Self::Wait(u8::arbitrary(g)),
-            8 | 9 => Self::Look,
-            _ => Self::Ask,
+            8 | 9 => Self::Reload,
+            _ => Self::Request,
         }
     }
 }
 
-/// One process: its reducer, what the board has told it, and what it must heed since it last looked or was called.
+/// A process: its reducer, the machines that discovery has listed, and the exclusions that it must apply
+/// since it last read the file or accepted a change.
 struct Process {
     reducer: Reducer,
     known: BTreeSet<&'static str>,
-    heeds: BTreeSet<String>,
+    exclusions: BTreeSet<String>,
     saved: State,
 }
 
-fn whole() -> DiscoveryEvent {
+fn snapshot() -> DiscoveryEvent {
     let machines = NAMES.iter().chain(&["o0"]).map(|name| listed(name, kind(name), Phase::Serving)).collect();
     DiscoveryEvent { rev: 1, announcement: Some(Announcement::Pool { snapshot: true, machines }) }
 }
@@ -79,30 +81,33 @@
 impl Process {
     fn start(now: f64, file: &[u8]) -> Self {
         let mut reducer = Reducer::new(common::settings(), common::net(), 7, now, UnixTime(UNIX_MS));
-        reducer.step(now, Input::DiscoveryEvent { notice: whole(), unix: UnixTime(UNIX_MS) });
+        reducer.step(now, Input::DiscoveryEvent { notice: snapshot(), unix: UnixTime(UNIX_MS) });
         let saved = State::new(LISTEN, BOOT);
-        let mut process = Self { reducer, known: NAMES.into(), heeds: BTreeSet::new(), saved };
-        process.look(now, file);
+        let mut process = Self { reducer, known: NAMES.into(), exclusions: BTreeSet::new(), saved };
+        process.reload(now, file);
         process
     }
 
-    /// One input; what comes of it heeds what this process must heed by then.
+    /// Applies an input and checks that its effects respect the exclusions.
     fn step(&mut self, now: f64, input: Input) -> Vec<Effect> {
         let effects = self.reducer.step(now, input);
         for effect in &effects {
             if let Effect::Send { machine: member, request: call, .. } = effect {
-                assert!(!self.heeds.contains(member.as_str()), "{member} is out");
-                assert!(!self.heeds.contains(call.fetch.source.as_str()), "nor is it a fill's source");
+                assert!(!self.exclusions.contains(member.as_str()), "{member} is excluded");
+                assert!(
+                    !self.exclusions.contains(call.fetch.source.as_str()),
+                    "an excluded machine is the source of a fill"
+                );
             }
         }
         effects
     }
 
-    /// As the daemon does: a file that can't be used is as if there were none.
-    fn look(&mut self, now: f64, file: &[u8]) -> Vec<Effect> {
+    /// Reads the file as the router does: an unusable file is treated like a missing one.
+    fn reload(&mut self, now: f64, file: &[u8]) -> Vec<Effect> {
         self.saved = State::decode(file, LISTEN, BOOT, NOW).unwrap_or_else(|_| self.saved.clone());
         let excluded = self.saved.excluded().clone();
-        self.heeds = excluded.names().map(str::to_owned).collect();
+        self.exclusions = excluded.names().map(str::to_owned).collect();
         self.step(now, Input::ExclusionsLoaded { excluded })
     }
 }
@@ -116,16 +121,16 @@
 }
 
 #[test]
-fn what_an_operator_has_taken_out_gets_nothing_in_either_process_whatever_the_board_says() {
-    fn property(steps: Vec<At>) -> bool {
+fn an_excluded_machine_gets_no_requests_in_either_process_whatever_discovery_lists() {
+    fn property(steps: Vec<ProcessStep>) -> bool {
         let (mut now, mut serial, mut file) = (0.0, 0, Vec::new());
         let mut both = [Process::start(0.0, &file), Process::start(0.0, &file)];
-        // What was answered with yes and not taken back by a later yes; what a death left open isn't in it.
-        let mut promised = BTreeSet::new();
+        // Machines whose exclusion was confirmed and not reverted; not those whose call ended with a death.
+        let mut confirmed = BTreeSet::new();
         for (second, step) in steps {
             let process = &mut both[usize::from(second)];
             match step {
-                Step::Board(at, phase) => {
+                Step::Discovery(at, phase) => {
                     let phase = [Phase::Serving, Phase::Draining, Phase::Deleted][usize::from(phase)];
                     match phase {
                         Phase::Deleted => process.known.remove(NAMES[at]),
@@ -138,64 +143,79 @@
                     };
                     process.step(now, Input::DiscoveryEvent { notice, unix: NOW.unix })
                 }
-                Step::Whole => {
+                Step::Snapshot => {
                     process.known = NAMES.into();
-                    process.step(now, Input::DiscoveryEvent { notice: whole(), unix: NOW.unix })
+                    process.step(now, Input::DiscoveryEvent { notice: snapshot(), unix: NOW.unix })
                 }
-                Step::Call(at, out, fate) => {
+                Step::Call(at, excluded, fate) => {
                     let name = NAMES[at];
-                    let mut effects = process.look(now, &file);
-                    let call = if out { Call::Exclude(name.into()) } else { Call::Include(name.into()) };
+                    let mut effects = process.reload(now, &file);
+                    let call = if excluded { Call::Exclude(name.into()) } else { Call::Include(name.into()) };
                     effects.extend(process.step(now, Input::Operator { caller: 1, call }));
-                    let may = process.known.contains(name) || (!out && process.heeds.contains(name));
-                    let change = Effect::SaveExclusion { caller: 1, name: name.into(), excluded: out };
-                    assert_eq!(effects.contains(&change), may, "a name that the board doesn't know is a no");
-                    if !may {
+                    let accepted =
+                        process.known.contains(name) || (!excluded && process.exclusions.contains(name));
+                    let change = Effect::SaveExclusion { caller: 1, name: name.into(), excluded };
+                    assert_eq!(
+                        effects.contains(&change),
+                        accepted,
+                        "only names that discovery lists are accepted"
+                    );
+                    if !accepted {
                         assert_eq!(verdicts(&effects), [Verdict::UnknownMachine]);
                         continue;
                     }
-                    assert_eq!(verdicts(&effects), [], "no word before it is saved");
+                    assert_eq!(verdicts(&effects), [], "no answer before the change is saved");
                     let result = if fate == Fate::CannotBeSaved {
                         Err(Verdict::NotSaved)
                     } else {
                         let mut state = process.saved.clone();
-                        assert_eq!(state.set_excluded(u64::from(second), false, name, out, NOW.boot), Ok(()));
+                        assert_eq!(
+                            state.set_excluded(u64::from(second), false, name, excluded, NOW.boot),
+                            Ok(())
+                        );
                         file = state.encode(NOW).expect("small");
                         Ok(state.excluded().clone())
                     };
                     if fate == Fate::Dies {
-                        promised.remove(name); // Nobody was told; the file says which.
+                        confirmed.remove(name); // No answer was sent; the file decides.
                         *process = Process::start(now, &file);
-                        assert_eq!(process.heeds.contains(name), out, "its successor goes by the file");
+                        assert_eq!(
+                            process.exclusions.contains(name),
+                            excluded,
+                            "the successor applies the file"
+                        );
                         continue;
                     }
                     if result.is_ok() {
-                        if out {
-                            promised.insert(name);
-                            process.heeds.insert(name.into());
+                        if excluded {
+                            confirmed.insert(name);
+                            process.exclusions.insert(name.into());
                         } else {
-                            promised.remove(name);
-                            process.heeds.remove(name);
+                            confirmed.remove(name);
+                            process.exclusions.remove(name);
                         }
                     }
                     let before = process.reducer.excluded().clone();
                     let answer = Input::ExclusionSaved { caller: 1, result: result.clone() };
                     effects.extend(process.step(now, answer));
                     let verdict = result.map_or_else(|why| why, |_| Verdict::Accepted);
-                    assert_eq!(verdicts(&effects), [verdict], "one word to a call");
+                    assert_eq!(verdicts(&effects), [verdict], "one answer per call");
                     if verdict != Verdict::Accepted {
-                        assert_eq!(process.reducer.excluded(), &before, "nothing half done stays");
+                        assert_eq!(process.reducer.excluded(), &before, "a failed change has no effect");
                     }
                     effects
                 }
-                Step::Look => {
-                    let effects = process.look(now, &file);
-                    for name in &promised {
-                        assert!(process.reducer.excluded().contains(name), "{name} was promised");
+                Step::Reload => {
+                    let effects = process.reload(now, &file);
+                    for name in &confirmed {
+                        assert!(
+                            process.reducer.excluded().contains(name),
+                            "the exclusion of {name} was confirmed"
+                        );
                     }
                     effects
                 }
-                Step::Ask => {
+                Step::Request => {
                     serial += 1;
                     let ask = IncomingRequest {
                         id: format!("{serial:016x}"),
@@ -219,15 +239,15 @@
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(150, 4))
         .tests(300)
-        .quickcheck(property as fn(Vec<At>) -> bool);
+        .quickcheck(property as fn(Vec<ProcessStep>) -> bool);
 }
 
 #[test]
-fn two_processes_ask_no_more_of_a_cold_machine_than_one_would() {
-    // The same requests, spread over as many processes, each with the part of the budget that the file gives it.
-    let asked = |parts: &[f64]| -> f64 {
+fn two_processes_send_no_more_to_a_cold_machine_than_one() {
+    // The same requests, spread over the processes, each with the share of the budget that the file gives it.
+    let asked = |shares: &[f64]| -> f64 {
         let mut sent = 0.0;
-        for (at, part) in parts.iter().enumerate() {
+        for (at, share) in shares.iter().enumerate() {
             let mut reducer =
                 Reducer::new(common::settings(), common::net(), 7 + at as u64, 0.0, UnixTime(UNIX_MS));
             let cold = |name| frostturn::discovery::ListedMachine {
@@ -245,8 +265,8 @@
                 announcement: Some(Announcement::Pool { snapshot: true, machines }),
             };
             reducer.step(0.0, Input::DiscoveryEvent { notice, unix: UnixTime(UNIX_MS) });
-            reducer.step(0.0, Input::ColdStartShare(*part));
-            for serial in (1..=2000).filter(|serial| serial % parts.len() as u64 == at as u64) {
+            reducer.step(0.0, Input::ColdStartShare(*share));
+            for serial in (1..=2000).filter(|serial| serial % shares.len() as u64 == at as u64) {
                 let ask = IncomingRequest {
                     id: format!("{serial:016x}"),
                     class: "read".into(),
@@ -267,9 +287,10 @@
         sent
     };
     let (alone, both, handed) = (asked(&[1.0]), asked(&[0.5, 0.5]), asked(&[0.0, 1.0]));
-    assert!((100.0..800.0).contains(&alone), "the budget binds and is no trifle: {alone}");
+    assert!((100.0..800.0).contains(&alone), "the budget limits the attempts and is not negligible: {alone}");
     let unshared = asked(&[1.0, 1.0]);
-    assert!(unshared > 1.3 * alone, "without the parts two ask for more: {alone} {unshared}");
-    // Each may overdraw by one request. What one that ends leaves, its successor has, and no more.
+    assert!(unshared > 1.3 * alone, "two processes with the whole budget each exceed it: {alone} {unshared}");
+    // Each process may exceed its share by one request. The successor gets exactly the share of a terminating
+    // process.
     assert!(both <= 1.1 * alone && handed <= 1.1 * alone, "{alone} {both} {handed}");
 }
--- a/tests/serve.rs
+++ b/tests/serve.rs
@@ -556,7 +556,7 @@
         assert_eq!(operator_call(&ops, "POST", "/api/exclude", "s-1"), 200, "and overwrites the file");
         assert_eq!(operator_call(&ops, "POST", "/api/include", "s-1"), 200);
         let log = router.startup_log.clone() + &router.terminate();
-        assert_eq!(log.matches("is not taken: ").count(), 1, "one line: {log}");
+        assert_eq!(log.matches("ignoring the shared state file: ").count(), 1, "one line: {log}");
         assert!(log.contains(why), "with its reason: {log}");
     }
     // The valid file is restored: the excluded machine is excluded from the start.
