--- a/tests/serve.rs
+++ b/tests/serve.rs
@@ -540,10 +540,10 @@
     let mut other = good.clone();
     other[7] += 1;
     let malformed: [(&[u8], &str); 4] = [
-        (&good[..good.len() - 3], "it is cut short or was changed"),
-        (&other, "it is of another kind or version"),
-        (b"{\"excluded\":[\"s-1\"]}", "it is of another kind or version"),
-        (&vec![b'x'; 600_000], "it is too large"),
+        (&good[..good.len() - 3], "shared state file: truncated or corrupt"),
+        (&other, "shared state file: unknown format or version"),
+        (b"{\"excluded\":[\"s-1\"]}", "shared state file: unknown format or version"),
+        (&vec![b'x'; 600_000], "shared state file: too large"),
     ];
     for (bytes, why) in malformed {
         std::fs::write(&file, bytes).expect("written");
