--- a/crates/frostturn-lab/src/board.rs
+++ b/crates/frostturn-lab/src/discovery.rs
@@ -1,4 +1,4 @@
-//! The stand-in notice board: numbered events over HTTP/1.1 long polls.
+//! Stand-in discovery service: numbered events over HTTP/1.1 long polls.
 
 use crate::check::Millis;
 use crate::world::World;
@@ -9,53 +9,53 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// An event counts as told after so long, whether it arrived or not.
+/// An event counts as announced after this time, delivered or not.
 const LATEST_MS: Millis = 7000.0;
 
-/// What an event tells that the rules depend on.
+/// Content of an event that the rules depend on.
 #[derive(Clone, Copy, Debug)]
-pub enum Told {
-    /// A machine drains or is gone.
-    Drains(usize),
+pub enum Announcement {
+    /// A machine drains or is removed.
+    Draining(usize),
     /// An object was purged at a Unix time.
     Purged(u64, f64),
 }
 
-/// The events so far.
+/// The discovery service with its events so far.
 #[derive(Debug)]
-pub struct Board {
-    /// Where it is asked.
+pub struct DiscoveryServer {
+    /// The address on which it listens.
     pub address: SocketAddr,
     events: Mutex<Vec<Value>>,
     more: Condvar,
-    /// What is to be noted once an event has been delivered, by its number.
-    pending: Mutex<Vec<(u64, Millis, Told)>>,
+    /// Announcements to record once their event has been delivered: event number, latest time, content.
+    pending: Mutex<Vec<(u64, Millis, Announcement)>>,
     world: Arc<World>,
 }
 
-impl Board {
-    /// Starts one with the event of the start.
+impl DiscoveryServer {
+    /// Starts a service with its first event.
     pub fn start(world: &Arc<World>, first: Value) -> io::Result<Arc<Self>> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
-        let board = Arc::new(Self {
+        let discovery = Arc::new(Self {
             address: listener.local_addr()?,
             events: Mutex::new(vec![numbered(1, first)]),
             more: Condvar::new(),
             pending: Mutex::default(),
             world: world.clone(),
         });
-        let asked = board.clone();
+        let asked = discovery.clone();
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
                 let asked = asked.clone();
                 thread::spawn(move || asked.serve(stream));
             }
         });
-        Ok(board)
+        Ok(discovery)
     }
 
-    /// Tells an event. It counts as told once it is delivered, and 7 s later at the latest.
-    pub fn tell(&self, event: Value, told: Option<Told>) {
+    /// Publishes an event. It counts as announced once it is delivered, and after 7 s at the latest.
+    pub fn publish(&self, event: Value, told: Option<Announcement>) {
         let mut events = self.events.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
         let rev = events.len() as u64 + 1;
         events.push(numbered(rev, event));
@@ -66,24 +66,24 @@
         self.more.notify_all();
     }
 
-    /// Notes what has been delivered up to an event, or counts as if it had been.
+    /// Records the announcements of delivered events and of those whose latest time has come.
     fn note(&self, upto: u64) {
         let now = self.world.now();
         let mut pending = self.pending.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
         let (due, rest) = pending.drain(..).partition(|(rev, until, _)| *rev <= upto || *until <= now);
         *pending = rest;
         drop(pending);
-        let due: Vec<(u64, Millis, Told)> = due;
-        let mut seen = self.world.seen();
+        let due: Vec<(u64, Millis, Announcement)> = due;
+        let mut seen = self.world.observations();
         for (_, _, told) in due {
             match told {
-                Told::Drains(machine) => seen.checker.told(machine, Some(now)),
-                Told::Purged(object, made) => seen.checker.purged(object, now, made),
+                Announcement::Draining(machine) => seen.checker.set_drained(machine, Some(now)),
+                Announcement::Purged(object, made) => seen.checker.purged(object, now, made),
             }
         }
     }
 
-    /// What a config holds of it.
+    /// Returns the events as a router's configuration has them.
     pub fn known(&self) -> Value {
         let events = self.events.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
         json!({ "rev": events.len(), "notices": *events })
@@ -92,7 +92,7 @@
     fn serve(&self, mut stream: TcpStream) {
         let (mut bytes, mut buffer) = (Vec::new(), [0; 4096]);
         let _ = stream.set_nodelay(true);
-        while !self.world.over() {
+        while !self.world.ended() {
             while !bytes.windows(4).any(|end| end == b"\r\n\r\n") {
                 match stream.read(&mut buffer) {
                     Ok(count @ 1..) => bytes.extend_from_slice(&buffer[..count]),
@@ -110,7 +110,7 @@
                 (number("watch="), Instant::now() + Duration::from_millis(number("linger=")));
             let mut events = self.events.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
             self.note(0);
-            while events.len() as u64 <= watch && Instant::now() < until && !self.world.over() {
+            while events.len() as u64 <= watch && Instant::now() < until && !self.world.ended() {
                 let wait = until.saturating_duration_since(Instant::now()).min(Duration::from_millis(100));
                 events = match self.more.wait_timeout(events, wait) {
                     Ok((events, _)) => events,
--- a/tests/ops.rs
+++ b/tests/ops.rs
@@ -81,7 +81,7 @@
 impl Process {
     fn start(now: f64, file: &[u8]) -> Self {
         let mut reducer = Reducer::new(common::settings(), common::net(), 7, now, UnixTime(UNIX_MS));
-        reducer.step(now, Input::DiscoveryEvent { notice: snapshot(), unix: UnixTime(UNIX_MS) });
+        reducer.step(now, Input::DiscoveryEvent { event: snapshot(), unix: UnixTime(UNIX_MS) });
         let saved = State::new(LISTEN, BOOT);
         let mut process = Self { reducer, known: NAMES.into(), exclusions: BTreeSet::new(), saved };
         process.reload(now, file);
@@ -137,15 +137,15 @@
                         _ => process.known.insert(NAMES[at]),
                     };
                     let machines = vec![listed(NAMES[at], "edge", phase)];
-                    let notice = DiscoveryEvent {
+                    let event = DiscoveryEvent {
                         rev: 1,
                         announcement: Some(Announcement::Pool { snapshot: false, machines }),
                     };
-                    process.step(now, Input::DiscoveryEvent { notice, unix: NOW.unix })
+                    process.step(now, Input::DiscoveryEvent { event, unix: NOW.unix })
                 }
                 Step::Snapshot => {
                     process.known = NAMES.into();
-                    process.step(now, Input::DiscoveryEvent { notice: snapshot(), unix: NOW.unix })
+                    process.step(now, Input::DiscoveryEvent { event: snapshot(), unix: NOW.unix })
                 }
                 Step::Call(at, excluded, fate) => {
                     let name = NAMES[at];
@@ -260,11 +260,11 @@
                 listed("e1", "edge", Phase::Serving),
                 listed("o0", "origin", Phase::Serving),
             ];
-            let notice = DiscoveryEvent {
+            let event = DiscoveryEvent {
                 rev: 1,
                 announcement: Some(Announcement::Pool { snapshot: true, machines }),
             };
-            reducer.step(0.0, Input::DiscoveryEvent { notice, unix: UnixTime(UNIX_MS) });
+            reducer.step(0.0, Input::DiscoveryEvent { event, unix: UnixTime(UNIX_MS) });
             reducer.step(0.0, Input::ColdStartShare(*share));
             for serial in (1..=2000).filter(|serial| serial % shares.len() as u64 == at as u64) {
                 let ask = IncomingRequest {
