--- a/src/cli.rs
+++ b/src/cli.rs
@@ -205,7 +205,7 @@
             },
         };
         if faults.is_empty() {
-            println!("{shown}: valid");
+            println!("{shown}: good");
         }
         all_valid &= faults.is_empty();
         faults.iter().for_each(|fault| eprintln!("{fault}"));
