--- a/src/runtime/board.rs
+++ b/src/runtime/board.rs
@@ -1,5 +1,5 @@
-//! The socket to the discovery service, which carries one long poll after the other. [`crate::discovery`] builds
-//! the polls and parses the responses.
+//! The socket to the discovery service, which carries one long poll after the other. [`crate::discovery`]
+//! builds the polls and parses the responses.
 
 use super::socket::{dial, IoStatus};
 use super::{Runtime, Source};
@@ -55,8 +55,10 @@
             let stray = match response {
                 Ok(Some(received)) => {
                     let unix = UnixTime::now();
-                    let inputs =
-                        received.events.into_iter().map(|notice| Input::DiscoveryEvent { notice, unix });
+                    let inputs = received
+                        .events
+                        .into_iter()
+                        .map(|notice| Input::DiscoveryEvent { event: notice, unix });
                     self.inbox.extend(inputs);
                     for problem in &received.problems {
                         log_line!("malformed discovery event, interpreted restrictively: {problem}");
