--- a/tests/hot_restart.rs
+++ b/tests/hot_restart.rs
@@ -132,7 +132,7 @@
     std::fs::write(&state, b"not a state").expect("written");
     setup.options.extend(["--listen".into(), old.address.clone()]);
     let new = Router::start("spoilt-new", &setup);
-    old.wait_for_log("can't be saved");
+    old.wait_for_log("cannot save the shared state file");
     // Longer than the new process leaves a corrupt file alone.
     rig::sleep_ms(1000);
     std::fs::remove_dir(&part).expect("directory removed");
