--- a/src/reducer/machines.rs
+++ b/src/reducer/machines.rs
@@ -4,8 +4,8 @@
 
 impl Reducer {
     /// Applies an event of the discovery service.
-    pub(super) fn discovery_event(&mut self, now: Millis, notice: DiscoveryEvent) {
-        match notice.announcement {
+    pub(super) fn discovery_event(&mut self, now: Millis, event: DiscoveryEvent) {
+        match event.announcement {
             None => {}
             Some(Announcement::Purge { object, group, made_unix_ms }) => {
                 self.counters.purges += 1;
@@ -26,9 +26,9 @@
                 let concerned: Vec<AttemptKey> = concerned.copied().collect();
                 concerned.into_iter().for_each(|key| self.withdraw_unsent(now, key));
             }
-            Some(Announcement::Pool { snapshot: whole, machines }) => {
+            Some(Announcement::Pool { snapshot, machines }) => {
                 self.counters.lists += 1;
-                self.update_machines(now, whole, machines, false);
+                self.update_machines(now, snapshot, machines, false);
             }
         }
     }
@@ -43,21 +43,21 @@
         })
     }
 
-    /// Applies entries of the list of machines. `whole`: the list is complete, and machines that it lacks are
+    /// Applies entries of the list of machines. `snapshot`: the list is complete, and machines that it lacks are
     /// deleted. `restarted`: an operator has included the machines again, so that they count as started now.
     pub(super) fn update_machines(
         &mut self,
         now: Millis,
-        whole: bool,
+        snapshot: bool,
         machines: Vec<ListedMachine>,
         restarted: bool,
     ) {
-        if whole {
+        if snapshot {
             for (name, machine) in &mut self.machines {
                 if !machines.iter().any(|listed| listed.name == name.as_str()) {
                     (machine.phase, machine.updated_at) = (Phase::Deleted, now);
                     let listing = Listing { phase: Phase::Deleted, address: None, cold_until: None };
-                    self.machine_stats.gone(name);
+                    self.machine_stats.remove(name);
                     self.effects.push(Effect::SetListing { machine: name.clone(), listing: Some(listing) });
                     self.effects.push(Effect::Retire { machine: name.clone() });
                 }
@@ -72,7 +72,7 @@
             stays
         });
         let mut entries = Vec::with_capacity(machines.len());
-        if whole {
+        if snapshot {
             self.listings.clear();
         }
         for mut listed in machines {
@@ -105,7 +105,7 @@
                     self.effects.push(Effect::MachineRestarted { machine: name.clone(), at });
                 }
             }
-            self.machine_stats.list(&name, &listed.kind, &listed.zone, listed.phase, listed.weight, since);
+            self.machine_stats.update(&name, &listed.kind, &listed.zone, listed.phase, listed.weight, since);
             entries.push(ListEntry {
                 cache: name,
                 kind: listed.kind,
@@ -116,7 +116,7 @@
                 online_since: since,
             });
         }
-        let mode = match (whole, self.list_received) {
+        let mode = match (snapshot, self.list_received) {
             (true, false) => ListMode::Cached,
             (true, true) => ListMode::Full,
             (false, _) => ListMode::Changes,
@@ -147,7 +147,7 @@
 
     /// Carries out an operator's call.
     pub(super) fn operator_call(&mut self, now: Millis, caller: u64, call: ops::Call) {
-        let verdict_of = |accepted| if accepted { ops::Verdict::Yes } else { ops::Verdict::No };
+        let verdict_of = |accepted| if accepted { ops::Verdict::Accepted } else { ops::Verdict::Rejected };
         let verdict = match call {
             ops::Call::Ready => verdict_of(self.ready()),
             ops::Call::Evacuate => {
@@ -155,17 +155,17 @@
                 if self.service.evacuating_since() == Some(now) {
                     self.set_timer(now + DRAINED_BY_MS, Timer::AuditDrain);
                 }
-                ops::Verdict::Yes
+                ops::Verdict::Accepted
             }
             ops::Call::Rejoin => verdict_of(self.service.rejoin()),
             ops::Call::Telemetry => {
                 let telemetry = Box::new(self.telemetry());
                 return self.effects.push(Effect::SendTelemetry { caller, telemetry });
             }
-            ops::Call::Fleet => ops::Verdict::No, // Answered before it reaches the reducer.
-            ops::Call::Exclude(name) if !self.is_listed(&name) => ops::Verdict::Unknown,
+            ops::Call::Fleet => ops::Verdict::Rejected, // Answered before it reaches the reducer.
+            ops::Call::Exclude(name) if !self.is_listed(&name) => ops::Verdict::UnknownMachine,
             ops::Call::Include(name) if !self.is_listed(&name) && !self.exclusions.contains(&name) => {
-                ops::Verdict::Unknown
+                ops::Verdict::UnknownMachine
             }
             // A change takes effect once it is saved. It is saved even if nothing changes here, as another
             // process may have changed it.
@@ -189,7 +189,7 @@
         let verdict = match result {
             Ok(excluded) => {
                 self.apply_exclusions(now, excluded);
-                ops::Verdict::Yes
+                ops::Verdict::Accepted
             }
             Err(verdict) => verdict,
         };
