--- a/crates/frostturn-lab/src/fleet/check.rs
+++ b/crates/frostturn-lab/src/fleet/check.rs
@@ -1,71 +1,73 @@
-//! What a fleet's routers said of each other, held against what was done to them.
+//! Compares the routers' views of a fleet with the faults that were injected.
+//!
+//! The ground truth is what the schedule did, and when. The views are the routers' logged events, by a
+//! common clock.
 //!
-//! The truth is what the schedule did, and when; what routers said are their lines, by a clock that all share.
 
 use super::schedule::{Cut, FaultAction, Millis};
 use crate::report::Bound;
 use frostturn::fleet::{QuorumStatus, State};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What a router said.
+/// An event that a router logged.
 #[derive(Clone, Debug, PartialEq)]
 pub enum FleetEvent {
-    /// Of itself, in force since then.
+    /// Its own quorum status, in force since then.
     StatusChanged { status: QuorumStatus, term: u32, since: Millis },
-    /// Of another one, by number, and which start and term of it.
+    /// The state of another router, given by number, start and term.
     MemberChanged { other: usize, start: u64, term: u32, state: State },
 }
 
-/// A word, when it was said and by whom.
+/// A logged event with its time and its router.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LoggedEvent {
-    /// When.
+    /// Time of the event.
     pub at: Millis,
-    /// Which router.
+    /// The router that logged it.
     pub by: usize,
-    /// Which start of it: 0, 1, … by the order of starts.
+    /// Index of its process: 0, 1, … in order of starts.
     pub start: usize,
-    /// What.
+    /// The event.
     pub event: FleetEvent,
 }
 
-/// A router that was called gone in the 3 s after a fault ended for it may still be.
+/// Time after the end of a fault within which a router must rejoin; until then it may still be called gone.
 const REJOIN_LIMIT_MS: Millis = 3000.0;
-/// Stalls up to this are no reason to call anyone gone.
+/// Longest stall that is no reason to call a router gone.
 const SHORT_STALL_MS: Millis = 3050.0;
-/// Time that a death is given to be noticed.
+/// Time within which a death must be detected.
 const DETECTION_LIMIT_MS: Millis = 10_000.0;
 
-/// A stretch of time in which nothing changes.
+/// A time interval in which nothing changes.
 #[derive(Clone, Debug)]
 struct Interval {
     from: Millis,
     until: Millis,
     alive: Vec<bool>,
     stopped: Vec<bool>,
-    /// Has ways to and from a majority, itself counted.
-    joined: Vec<bool>,
+    /// Whether a router has routes to and from a majority, itself included.
+    connected: Vec<bool>,
 }
 
-/// All that was done, as intervals.
+/// The ground truth, as intervals.
 #[derive(Debug)]
 pub struct GroundTruth {
     routers: usize,
     intervals: Vec<Interval>,
     kills: Vec<(Millis, usize)>,
     /// For each router, when each of its processes began and ended.
-    lives: Vec<Vec<(Millis, Millis)>>,
-    /// The number that each of them gave its start.
+    processes: Vec<Vec<(Millis, Millis)>>,
+    /// The start number of each process.
     starts: Vec<Vec<u64>>,
-    /// For each, when it stood still.
+    /// For each router, when it was suspended.
     stops: Vec<Vec<(Millis, Millis)>>,
-    /// When a stop or a cut ended.
+    /// Times at which a suspension or a cut ended.
     heals: Vec<Millis>,
     end: Millis,
 }
 
 impl GroundTruth {
-    /// What was done at these times, from a start of all at `begin` on, until `end`.
+    /// Creates the ground truth from the actions and their times. All routers start at `begin`.
     pub fn new(begin: Millis, done: &[(Millis, FaultAction)], starts: Vec<Vec<u64>>, end: Millis) -> Self {
         let routers = starts.len();
         let mut alive = vec![true; routers];
@@ -75,7 +77,7 @@
             routers,
             intervals: Vec::new(),
             kills: Vec::new(),
-            lives: vec![vec![(begin, end)]; routers],
+            processes: vec![vec![(begin, end)]; routers],
             starts,
             stops: vec![Vec::new(); routers],
             heals: Vec::new(),
@@ -84,9 +86,9 @@
         let mut from = begin;
         for (at, what) in done.iter().cloned().chain([(end, FaultAction::Junk(0, 0))]) {
             if at > from {
-                let joined = joined(&alive, &stopped, &cuts);
+                let connected = connected(&alive, &stopped, &cuts);
                 let (alive, stopped) = (alive.clone(), stopped.clone());
-                truth.intervals.push(Interval { from, until: at, alive, stopped, joined });
+                truth.intervals.push(Interval { from, until: at, alive, stopped, connected });
                 from = at;
             }
             match what {
@@ -94,14 +96,14 @@
                     for one in these.into_iter().filter(|one| std::mem::replace(&mut alive[*one], false)) {
                         truth.kills.push((at, one));
                         stopped[one] = false;
-                        if let Some(life) = truth.lives[one].last_mut() {
+                        if let Some(life) = truth.processes[one].last_mut() {
                             life.1 = at;
                         }
                     }
                 }
                 FaultAction::Start(these) => {
                     for one in these.into_iter().filter(|one| !std::mem::replace(&mut alive[*one], true)) {
-                        truth.lives[one].push((at, end));
+                        truth.processes[one].push((at, end));
                     }
                 }
                 FaultAction::Stop(these) => {
@@ -134,36 +136,37 @@
         self.intervals.iter().filter(move |one| one.until > from && one.from < until)
     }
 
-    /// Whether one ran all the time with ways to and from a majority; a short standstill is none.
-    fn well(&self, one: usize, from: Millis, until: Millis) -> bool {
+    /// Returns whether a router ran all the time with routes to and from a majority; a short stall doesn't
+    /// count.
+    fn was_connected(&self, one: usize, from: Millis, until: Millis) -> bool {
         let short = self.stops[one].iter().all(|(a, b)| *b <= from || *a >= until || b - a <= SHORT_STALL_MS);
-        short && self.during(from, until).all(|s| s.alive[one] && s.joined[one])
+        short && self.during(from, until).all(|s| s.alive[one] && s.connected[one])
     }
 
-    /// As [`well`](Self::well), and never stopped.
-    fn awake(&self, one: usize, from: Millis, until: Millis) -> bool {
-        self.well(one, from, until) && self.during(from, until).all(|s| !s.stopped[one])
+    /// As [`was_connected`](Self::was_connected), and without any stall.
+    fn was_running(&self, one: usize, from: Millis, until: Millis) -> bool {
+        self.was_connected(one, from, until) && self.during(from, until).all(|s| !s.stopped[one])
     }
 
-    /// Which of its lives one led then, if that is the one that went by this start.
-    fn life(&self, one: usize, start: u64, at: Millis) -> Option<usize> {
-        let life = self.lives[one].iter().position(|(from, until)| *from <= at && at < *until)?;
+    /// Returns the process of a router at that time, if it has this start number.
+    fn process_at(&self, one: usize, start: u64, at: Millis) -> Option<usize> {
+        let life = self.processes[one].iter().position(|(from, until)| *from <= at && at < *until)?;
         (self.starts[one].get(life) == Some(&start)).then_some(life)
     }
 
-    /// Whether one runs then or will go on before the end.
-    fn wakes(&self, one: usize, at: Millis) -> bool {
+    /// Returns whether a router is running at that time or resumes before the end.
+    fn resumes(&self, one: usize, at: Millis) -> bool {
         !self.stops[one].iter().any(|(from, until)| *from <= at && at <= *until && *until >= self.end)
     }
 
-    /// Whether something happened to one, to its life or to its ways, in that time.
+    /// Returns whether a router was down, stalled or disconnected at some time in the interval.
     fn disturbed(&self, one: usize, from: Millis, until: Millis) -> bool {
-        !self.awake(one, from, until)
+        !self.was_running(one, from, until)
     }
 }
 
-/// Who has ways to and from a majority, itself counted, through those that run.
-fn joined(alive: &[bool], stopped: &[bool], cuts: &[Cut]) -> Vec<bool> {
+/// Returns which routers have routes to and from a majority, themselves included, through running routers.
+fn connected(alive: &[bool], stopped: &[bool], cuts: &[Cut]) -> Vec<bool> {
     let count = alive.len();
     let runs: Vec<usize> = (0..count).filter(|one| alive[*one] && !stopped[*one]).collect();
     if cuts.is_empty() {
@@ -189,7 +192,7 @@
         let (there, back) = (reach(one, true), reach(one, false));
         (0..count).filter(|other| there[*other] && back[*other]).count() > count / 2
     };
-    // Those of one component share the answer: asked once for each.
+    // Routers of one strongly connected component share the result, which is computed once.
     let mut known: Vec<Option<bool>> = vec![None; count];
     for one in runs.iter().copied() {
         if known[one].is_none() {
@@ -202,26 +205,26 @@
     (0..count).map(|one| alive[one] && known[one].unwrap_or_else(|| both(one))).collect()
 }
 
-/// What came of it.
+/// Result of the comparison.
 #[derive(Clone, Debug, Default)]
 pub struct Figures {
-    /// Times that a router was called gone that was not.
+    /// Number of times that a healthy router was called gone.
     pub false_gone: usize,
-    /// Times that one was called gone before it knew that it was cut off.
+    /// Number of times that a router was called gone before it knew that it was cut off.
     pub knows_first: usize,
-    /// From a death to each other router's word, in ms.
+    /// Times from a death to each other router's event, in ms.
     pub suspect_ms: Vec<Millis>,
     /// See `suspect_ms`.
     pub gone_ms: Vec<Millis>,
-    /// From the end of a fault to when all is as it was, for each router that was disturbed.
+    /// Times from the end of a fault to recovery, for each disturbed router.
     pub rejoin_ms: Vec<Millis>,
-    /// From the last fault to the last change, or none where some are still wrong.
+    /// Time from the last fault to the last change; `None` if some views are still wrong.
     pub views_differ_ms: Option<Millis>,
-    /// Some of what went wrong, in words.
+    /// Descriptions of some failures.
     pub examples: Vec<String>,
 }
 
-/// The 99th percentile; 0 of nothing.
+/// Returns the 99th percentile; 0 if there are no values.
 pub fn p99(times: &[Millis]) -> Millis {
     let mut sorted = times.to_vec();
     sorted.sort_by(f64::total_cmp);
@@ -230,7 +233,7 @@
 }
 
 impl Figures {
-    /// The bounds that the operators asked for.
+    /// Returns the bounds of the operators' requirements.
     pub fn bounds(&self) -> Vec<Bound> {
         vec![
             Bound::most("false_gone", self.false_gone as f64, 0.0),
@@ -242,7 +245,7 @@
         ]
     }
 
-    /// How often each time could be taken: a bound over none status nothing.
+    /// Returns how often each time was measured: a bound over no values means nothing.
     pub fn samples(&self) -> String {
         let [suspect, gone, rejoin] = [&self.suspect_ms, &self.gone_ms, &self.rejoin_ms].map(Vec::len);
         format!("{suspect} times to suspect, {gone} to gone, {rejoin} to rejoin")
@@ -255,22 +258,22 @@
     }
 }
 
-/// Holds all that was said against the truth. `said` is in order of time.
-pub fn evaluate(truth: &GroundTruth, said: &[LoggedEvent]) -> Figures {
+/// Compares all events, which are in order of time, with the ground truth.
+pub fn evaluate(truth: &GroundTruth, logged: &[LoggedEvent]) -> Figures {
     let mut figures = Figures::default();
-    gone(truth, said, &mut figures);
-    deaths(truth, said, &mut figures);
-    heals(truth, said, &mut figures);
-    last(truth, said, &mut figures);
+    check_gone(truth, logged, &mut figures);
+    check_deaths(truth, logged, &mut figures);
+    check_recovery(truth, logged, &mut figures);
+    check_final_views(truth, logged, &mut figures);
     figures
 }
 
-/// Each router's standing over time, by its starts.
+/// Each router's quorum status over time, by router and process.
 type StatusHistory = BTreeMap<(usize, usize), Vec<(Millis, QuorumStatus, u32)>>;
 
-fn status_history(said: &[LoggedEvent]) -> StatusHistory {
+fn status_history(logged: &[LoggedEvent]) -> StatusHistory {
     let mut all = StatusHistory::new();
-    for one in said {
+    for one in logged {
         if let FleetEvent::StatusChanged { status, term, since } = one.event {
             all.entry((one.by, one.start)).or_default().push((since, status, term));
         }
@@ -278,23 +281,26 @@
     all
 }
 
-/// Words that somebody is gone: false ones, and those that came before that one knew.
-fn gone(truth: &GroundTruth, said: &[LoggedEvent], figures: &mut Figures) {
-    let status_history = status_history(said);
-    for one in said {
+/// Checks events that call a router gone: false ones, and those before that router knew that it was cut
+/// off.
+fn check_gone(truth: &GroundTruth, logged: &[LoggedEvent], figures: &mut Figures) {
+    let status_history = status_history(logged);
+    for one in logged {
         let FleetEvent::MemberChanged { other, start, term, state: State::Gone } = one.event else {
             continue;
         };
-        if truth.well(other, one.at - REJOIN_LIMIT_MS, one.at) {
+        if truth.was_connected(other, one.at - REJOIN_LIMIT_MS, one.at) {
             figures.false_gone += 1;
-            figures.note(format!("{} called {other} gone at {:.0}, which was well", one.by, one.at));
+            figures.note(format!("{} called {other} gone at {:.0}, which was healthy", one.by, one.at));
         }
-        // A dead one knows nothing, and one that never wakes status nothing.
-        let Some(life) = truth.life(other, start, one.at).filter(|_| truth.wakes(other, one.at)) else {
+        // A dead router knows nothing, and one that never resumes logs nothing.
+        let Some(life) = truth.process_at(other, start, one.at).filter(|_| truth.resumes(other, one.at))
+        else {
             continue;
         };
         let Some(known) = status_history.get(&(other, life)) else { continue };
-        // What held then, by its own words, which one that stood still status when it wakes.
+        // The status in force at that time, by the router's own events; a stalled router logs it when it
+        // resumes.
         let Some((_, status, now)) = known.iter().rev().find(|(since, ..)| *since <= one.at) else {
             continue;
         };
@@ -302,18 +308,19 @@
             figures.knows_first += 1;
             let (by, at) = (one.by, one.at);
             figures.note(format!(
-                "{by} called {other} gone in term {term} at {at:.0}, which stood in term {now}"
+                "{by} called {other} gone in term {term} at {at:.0}, which had a majority in term {now}"
             ));
         }
     }
 }
 
-/// What each said of each other one, in order of time: in a large fleet there is too much to look through all for each.
+/// States that each router logged of each other one, in order of time. Indexed by pair, since searching all
+/// events for each pair takes too long in a large fleet.
 type ByPair = BTreeMap<(usize, usize), Vec<(Millis, State)>>;
 
-fn by_pair(said: &[LoggedEvent]) -> ByPair {
+fn by_pair(logged: &[LoggedEvent]) -> ByPair {
     let mut all = ByPair::new();
-    for one in said {
+    for one in logged {
         if let FleetEvent::MemberChanged { other, state, .. } = one.event {
             all.entry((one.by, other)).or_default().push((one.at, state));
         }
@@ -321,21 +328,21 @@
     all
 }
 
-/// How soon deaths are noticed.
-fn deaths(truth: &GroundTruth, said: &[LoggedEvent], figures: &mut Figures) {
-    let pairs = by_pair(said);
+/// Measures how soon deaths are detected.
+fn check_deaths(truth: &GroundTruth, logged: &[LoggedEvent], figures: &mut Figures) {
+    let pairs = by_pair(logged);
     for (at, dead) in &truth.kills {
         let back =
-            truth.lives[*dead].iter().map(|(from, _)| *from).find(|from| from >= at).unwrap_or(truth.end);
+            truth.processes[*dead].iter().map(|(from, _)| *from).find(|from| from >= at).unwrap_or(truth.end);
         for by in (0..truth.routers).filter(|by| by != dead) {
             let events = || pairs.get(&(by, *dead)).into_iter().flatten().copied();
-            // One that suspected it before status nothing new.
+            // A router that suspected it before logs nothing new.
             if events().rfind(|(when, _)| when < at).is_some_and(|(_, state)| state != State::Alive) {
                 continue;
             }
             let mut first =
                 |wanted: &[State], within: Millis, times: &mut dyn FnMut(&mut Figures, Millis)| {
-                    if back < at + within || !truth.awake(by, at - REJOIN_LIMIT_MS, at + within) {
+                    if back < at + within || !truth.was_running(by, at - REJOIN_LIMIT_MS, at + within) {
                         return;
                     }
                     let noticed = events().find(|(when, state)| when >= at && wanted.contains(state));
@@ -352,12 +359,12 @@
     }
 }
 
-/// How soon all is well again after a heal or a wake.
-fn heals(truth: &GroundTruth, said: &[LoggedEvent], figures: &mut Figures) {
+/// Measures how soon a disturbed router recovers after a heal or a resumption.
+fn check_recovery(truth: &GroundTruth, logged: &[LoggedEvent], figures: &mut Figures) {
     let window = REJOIN_LIMIT_MS + 500.0;
-    // What each said of its own standing, and what others said of it.
+    // Events about each router: its own quorum status, and its state as seen by others.
     let mut about: BTreeMap<usize, Vec<&LoggedEvent>> = BTreeMap::new();
-    for one in said {
+    for one in logged {
         let whom = match one.event {
             FleetEvent::StatusChanged { .. } => one.by,
             FleetEvent::MemberChanged { other, .. } => other,
@@ -366,58 +373,58 @@
     }
     for heal in &truth.heals {
         for one in 0..truth.routers {
-            let hurt = truth.disturbed(one, heal - 50.0, *heal);
-            if !hurt || !truth.awake(one, heal + 1.0, heal + window) {
+            let disturbed = truth.disturbed(one, heal - 50.0, *heal);
+            if !disturbed || !truth.was_running(one, heal + 1.0, heal + window) {
                 continue;
             }
-            // The first moment at which it stands and all others that are well take it for alive.
+            // Find the first time at which it has a majority and all other healthy routers see it alive.
             let others = (0..truth.routers).filter(|by| *by != one);
-            let mut without: BTreeSet<usize> =
-                others.filter(|by| truth.awake(*by, heal - 10_000.0, heal + window)).collect();
-            let (watched, mut stands, mut well) = (without.clone(), false, f64::INFINITY);
-            without.clear();
+            let mut unaware: BTreeSet<usize> =
+                others.filter(|by| truth.was_running(*by, heal - 10_000.0, heal + window)).collect();
+            let (observers, mut has_majority, mut recovered_at) = (unaware.clone(), false, f64::INFINITY);
+            unaware.clear();
             for s in about.get(&one).into_iter().flatten().filter(|s| s.at <= heal + window) {
                 match s.event {
                     FleetEvent::StatusChanged { status, .. } if s.by == one => {
-                        stands = status == QuorumStatus::Majority
+                        has_majority = status == QuorumStatus::Majority
                     }
                     FleetEvent::MemberChanged { other, state, .. }
-                        if other == one && watched.contains(&s.by) =>
+                        if other == one && observers.contains(&s.by) =>
                     {
                         match state {
-                            State::Alive => without.remove(&s.by),
-                            _ => without.insert(s.by),
+                            State::Alive => unaware.remove(&s.by),
+                            _ => unaware.insert(s.by),
                         };
                     }
                     _ => continue,
                 }
-                if !stands || !without.is_empty() {
-                    well = f64::INFINITY;
-                } else if well.is_infinite() {
-                    well = s.at;
+                if !has_majority || !unaware.is_empty() {
+                    recovered_at = f64::INFINITY;
+                } else if recovered_at.is_infinite() {
+                    recovered_at = s.at;
                 }
-                if well.is_finite() && s.at > *heal {
+                if recovered_at.is_finite() && s.at > *heal {
                     break;
                 }
             }
-            let took = if well.is_finite() { (well - heal).max(0.0) } else { 99_999.0 };
+            let took = if recovered_at.is_finite() { (recovered_at - heal).max(0.0) } else { 99_999.0 };
             if took > REJOIN_LIMIT_MS {
-                figures.note(format!("{one} was not back {took:.0} ms after {heal:.0}"));
+                figures.note(format!("{one} had not recovered {took:.0} ms after the heal at {heal:.0}"));
             }
             figures.rejoin_ms.push(took);
         }
     }
 }
 
-/// Whether all see the same at the end, and since when.
-fn last(truth: &GroundTruth, said: &[LoggedEvent], figures: &mut Figures) {
+/// Checks whether all views are right at the end, and since when.
+fn check_final_views(truth: &GroundTruth, logged: &[LoggedEvent], figures: &mut Figures) {
     let Some(end) = truth.intervals.last() else { return };
     let mut seen: BTreeMap<(usize, usize), (Millis, State)> = BTreeMap::new();
     let mut starts: BTreeMap<usize, usize> = BTreeMap::new();
-    for one in said {
+    for one in logged {
         let start = starts.entry(one.by).or_default();
         if one.start > *start {
-            // A new process knows nothing of what the one before it knew.
+            // A new process has none of its predecessor's knowledge.
             *start = one.start;
             seen.retain(|(by, _), _| *by != one.by);
         }
@@ -426,20 +433,20 @@
         }
     }
     let mut since = end.from;
-    let mut good = true;
+    let mut all_right = true;
     for by in (0..truth.routers).filter(|by| end.alive[*by]) {
         for other in (0..truth.routers).filter(|other| *other != by) {
             let right = |state: State| (state == State::Alive) == end.alive[other];
             match seen.get(&(by, other)) {
                 Some((at, state)) if right(*state) => since = since.max(*at),
                 last_event => {
-                    good = false;
-                    figures.note(format!("at the end {by} has {other} as {last_event:?}"));
+                    all_right = false;
+                    figures.note(format!("at the end {by} sees {other} as {last_event:?}"));
                 }
             }
         }
     }
-    figures.views_differ_ms = good.then_some(since - end.from);
+    figures.views_differ_ms = all_right.then_some(since - end.from);
 }
 
 #[cfg(test)]
