--- a/src/discovery.rs
+++ b/src/discovery.rs
@@ -135,7 +135,7 @@
     Ok(DiscoveryEvent { rev, announcement })
 }
 
-/// Parses an endpoint; `None` if it has no name. A machine of which only the name can be read is treated as
+/// Parses a machine; `None` if it has no name. A machine of which only the name can be read is treated as
 /// draining, so that it receives nothing more.
 fn parse_machine(value: &OwnedValue, problems: &mut Vec<String>) -> Option<ListedMachine> {
     let Some(name) = value.get_str("name") else {
@@ -371,7 +371,7 @@
 }
 
 /// Merges changes that come together with a snapshot into the snapshot. Acting on the states in between would
-/// be wrong, for example by closing connections to an endpoint that is back by now.
+/// be wrong, for example by closing connections to a machine that is back by now.
 fn merge_into_snapshot(events: Vec<DiscoveryEvent>) -> Vec<DiscoveryEvent> {
     let mut merged: Vec<DiscoveryEvent> = Vec::with_capacity(events.len());
     let mut snapshot_at = None;
--- a/src/handover/store.rs
+++ b/src/handover/store.rs
@@ -61,7 +61,7 @@
 #[derive(Debug)]
 pub enum Refreshed {
     /// The file has not changed.
-    ChangeError,
+    Unchanged,
     /// Another process has changed the file.
     Changed,
     /// The file is missing or its content is unusable.
@@ -171,13 +171,13 @@
             // No change has been confirmed yet: there would be a file.
             Ok(None) => {
                 self.knowledge = Knowledge::All;
-                return Refreshed::ChangeError;
+                return Refreshed::Unchanged;
             }
             Ok(Some(bytes)) => bytes,
         };
         let hash = Some(XxHash64::oneshot(0, &bytes));
         if self.seen == hash {
-            return Refreshed::ChangeError;
+            return Refreshed::Unchanged;
         }
         self.seen = hash;
         let read = State::decode(&bytes, &self.listen, &self.boot_id, now);
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -1165,8 +1165,8 @@
     }
 
     /// Updates the ready peers of a spread mode at the end of an attempt. A peer on trial becomes ready when
-    /// it has served, even if by a fill. A ready peer is removed by any outcome but Ok, and if it has served
-    /// by a fill (`missed`), as it had no copy.
+    /// it has served, even if by a fill. A ready peer is removed by any outcome but `Ok`, and if it has
+    /// served by a fill (`missed`), as it had no copy.
     fn update_peer(&mut self, key: Option<&Piece>, cache: MachineIndex, outcome: Outcome, missed: bool) {
         let Some(spread) = key.and_then(|key| self.pieces.get_mut(key)?.spread.as_mut()) else { return };
         let on_trial = spread.on_trial.contains(&cache);
--- a/src/reducer/requests.rs
+++ b/src/reducer/requests.rs
@@ -159,7 +159,7 @@
     }
 
     /// Ends a request without an answer, as its client no longer waits. The operators' telemetry has one
-    /// result, Aborted, for such requests and for failed ones.
+    /// result, [`Aborted`](ops::Disposition::Aborted), for such requests and for failed ones.
     pub(super) fn abort(&mut self, now: Millis, request_key: RequestKey) {
         let Some(pending) = self.remove_pending(request_key) else { return };
         self.counters.aborted += 1;
@@ -302,7 +302,7 @@
     }
 
     /// Cancels several attempts. An attempt that times out before a byte of it is written is reported as
-    /// ConnectFailed.
+    /// `ConnectFailed`.
     pub(super) fn cancel_attempts(
         &mut self,
         now: Millis,
--- a/src/runtime/board.rs
+++ b/src/runtime/board.rs
@@ -100,7 +100,7 @@
         }
     }
 
-    /// Handles a failed poll. The endpoint list stays as it is, and polling resumes from the last event
+    /// Handles a failed poll. The list of machines stays as it is, and polling resumes from the last event
     /// received.
     pub(super) fn discovery_failed(&mut self, why: &str) {
         self.close_discovery();
